--- a/packages/direct-entry/src/plan-entries.test.ts
+++ b/packages/direct-entry/src/plan-entries.test.ts
@@ -1,4 +1,4 @@
-import { createColdShare } from '@lapisbridge/forwarding';
+import { createColdStartShare } from '@lapisbridge/forwarding';
 import { createRandom, pickSome } from '@lapisbridge/kernel';
 import { expect, it } from 'vitest';
 
@@ -25,12 +25,12 @@
         const known = pickSome(names, others, random);
         const view = known.includes(own) ? known : [...known, own];
         const input = { known: view.length, servers: 77, sinceStartMilliseconds: 800 };
-        const share = createColdShare(
+        const share = createColdStartShare(
           () => ({ own, names: view, count: planEntries(input) }),
           () => 0,
         );
-        while (share.roomIn(`server-${server}`, rate) === 0) {
-          share.noteSent(`server-${server}`);
+        while (share.roomInMilliseconds(`server-${server}`, rate) === 0) {
+          share.recordSent(`server-${server}`);
           sent += 1;
         }
       }
--- a/packages/direct-entry/src/start-entry.ts
+++ b/packages/direct-entry/src/start-entry.ts
@@ -7,18 +7,18 @@
 import {
   createArrivalMeter,
   createCallerListener,
-  createColdShare,
+  createColdStartShare,
   createGroupHealth,
   createPulse,
-  createRetryShare,
+  createRetryBudgetShare,
   createServerBackoffs,
   createServerDepartures,
-  createServerLedger,
+  createServerLoadTracker,
   createServerLiveness,
   createServerRateLimits,
   createServerStatements,
 } from '@lapisbridge/forwarding';
-import type { ForwardContext, SendingEntries, StandingStatement } from '@lapisbridge/forwarding';
+import type { ForwardContext, SendingEntries, ActiveStatement } from '@lapisbridge/forwarding';
 import type { Address } from '@lapisbridge/json-call';
 import { createRandom, monotonicClock } from '@lapisbridge/kernel';
 import { createMetrics, startMetricsListener } from '@lapisbridge/metrics';
@@ -49,7 +49,7 @@
   });
 }
 
-function secondsByServer(statements: readonly StandingStatement[]): ReadonlyMap<string, number> {
+function secondsByServer(statements: readonly ActiveStatement[]): ReadonlyMap<string, number> {
   return new Map(
     statements.map(({ instanceId, ageMilliseconds }) => [instanceId, ageMilliseconds / 1000]),
   );
@@ -63,7 +63,7 @@
   const random = createRandom(Math.floor(Math.random() * 0x7fffffff));
   const startedAt = monotonicClock();
   const catalog = createCatalog();
-  const ledger = createServerLedger(monotonicClock);
+  const ledger = createServerLoadTracker(monotonicClock);
   const liveness = createServerLiveness(monotonicClock, logger);
   const groupHealth = createGroupHealth(monotonicClock, logger);
   const metrics = createMetrics();
@@ -128,7 +128,7 @@
 
   const entries = (): number => sendingEntries().count;
 
-  const coldShare = createColdShare(sendingEntries, monotonicClock);
+  const coldShare = createColdStartShare(sendingEntries, monotonicClock);
   catalog.onChange(() => {
     const { servers } = catalog.servers();
     for (const memory of [ledger, liveness, pulse, coldShare, statements]) {
@@ -139,12 +139,12 @@
   metrics.gauge(
     'lapisbridge_rate_limited_servers',
     'Backend servers that state a rate limit.',
-    () => rateLimits.size(),
+    () => rateLimits.limitedServerCount(),
   );
   metrics.gauge(
     'lapisbridge_silent_servers',
     'Backend servers that are silent while most of their service are not.',
-    () => liveness.size(),
+    () => liveness.silentServerCount(),
   );
   metrics.gauge(
     'lapisbridge_rate_limited_requests_sent_total',
@@ -155,7 +155,7 @@
   metrics.serverGauge(
     'lapisbridge_server_backoff_seconds',
     'Time since a backend server that backs off asked for it.',
-    () => secondsByServer(backoffs.list()),
+    () => secondsByServer(backoffs.listActive()),
   );
   metrics.serverGauge(
     'lapisbridge_server_leaving_seconds',
@@ -174,7 +174,7 @@
     catalog,
     ledger,
     liveness,
-    retryShare: createRetryShare(
+    retryShare: createRetryBudgetShare(
       () => ({
         ratio: life.settings().retryRatio,
         slack: life.settings().retrySlack,
--- a/packages/direct-entry/src/start-fleet.ts
+++ b/packages/direct-entry/src/start-fleet.ts
@@ -6,7 +6,7 @@
 import type { EntryFleet, RankLoad, SidecarAddress } from '@lapisbridge/fleet';
 import type {
   GroupHealth,
-  ServerLedger,
+  ServerLoadTracker,
   ServerLiveness,
   ServerRateLimits,
 } from '@lapisbridge/forwarding';
@@ -22,7 +22,7 @@
 export interface StartFleetOptions {
   settings(): ProcessSettings;
   readonly catalog: Catalog;
-  readonly ledger: ServerLedger;
+  readonly ledger: ServerLoadTracker;
   readonly liveness: ServerLiveness;
   readonly groupHealth: GroupHealth;
   readonly rateLimits: ServerRateLimits;
@@ -87,8 +87,8 @@
     for (const load of loads) {
       groupHealth.reported(load, load.ageMilliseconds);
       for (const serverId of serversByRank.get(rankKey(load)) ?? []) {
-        ledger.reported(serverId, load, load.ageMilliseconds);
-        liveness.heard(serverId, load.ageMilliseconds);
+        ledger.recordReport(serverId, load, load.ageMilliseconds);
+        liveness.recordContact(serverId, load.ageMilliseconds);
       }
     }
   }
@@ -123,7 +123,7 @@
     freshness: () => options.knowledge().freshness(),
     onFreshness: (from, freshness) => options.knowledge().onPeerState(from, freshness),
     rateLimits: () => rateLimits.statements(),
-    onRateLimits: (statements) => rateLimits.onTold(statements),
+    onRateLimits: (statements) => rateLimits.onPeerStatements(statements),
     onLoads: takeLoads,
     send: (to, message) => link.send(to, message),
     wake,
--- a/packages/forwarding/src/standing-statement.ts
+++ b/packages/forwarding/src/active-statement.ts
@@ -1,7 +1,7 @@
 /**
  * A statement of a backend server that stands, as metrics tell of it.
  */
-export interface StandingStatement {
+export interface ActiveStatement {
   readonly instanceId: string;
   /** Since the server first stated it. */
   readonly ageMilliseconds: number;
--- a/packages/forwarding/src/caller-listener.ts
+++ b/packages/forwarding/src/caller-listener.ts
@@ -161,7 +161,7 @@
           isRetry,
           priority: admission.account?.priority ?? admission.route.priority,
         };
-        context.retryShare.count(admission.service);
+        context.retryShare.recordRequest(admission.service);
         context.arrivals.note(admission.service);
         if (admission.route.kind === RequestKind.Streaming) await serveStream(context, accepted);
         else await servePlain(context, accepted);
--- a/packages/forwarding/src/choose-server.ts
+++ b/packages/forwarding/src/choose-server.ts
@@ -22,7 +22,7 @@
   const byId = context.catalog.servers().servers;
   const views: ServerView[] = [];
   const coldRate = profile?.coldRequestsPerSecond ?? 0;
-  const senders = coldShare.senders(coldRate);
+  const senders = coldShare.senderCount(coldRate);
   let leaving = 0;
   for (const server of byId.values()) {
     if (server.service !== accepted.service || server.draining) continue;
@@ -32,7 +32,7 @@
       leaving += 1;
       continue;
     }
-    const coldRoom = coldShare.roomIn(server.instanceId, coldRate);
+    const coldRoom = coldShare.roomInMilliseconds(server.instanceId, coldRate);
     views.push(
       context.ledger.view(
         server,
--- a/packages/forwarding/src/cold-share.ts
+++ b/packages/forwarding/src/cold-start-share.ts
@@ -11,15 +11,15 @@
 import { createSenderRanks } from './sender-rank.js';
 import type { SendingEntries } from './sender-rank.js';
 
-export interface ColdShare {
+export interface ColdStartShare {
   /**
    * Milliseconds until one more request may be sent: 0 for now, infinite where this entry is not
    * to send to the server at all.
    */
-  roomIn(instanceId: string, coldRequestsPerSecond: number): number;
+  roomInMilliseconds(instanceId: string, coldRequestsPerSecond: number): number;
   /** Number of entries that may send to a server, this one included or not. */
-  senders(coldRequestsPerSecond: number): number;
-  noteSent(instanceId: string): void;
+  senderCount(coldRequestsPerSecond: number): number;
+  recordSent(instanceId: string): void;
   /** Forgets servers that are gone. */
   keepOnly(instanceIds: ReadonlyMap<string, unknown>): void;
 }
@@ -29,17 +29,20 @@
  * Part of a server's places that is given out where entries outnumber them. Entries that have just
  * started know some of the others, each another part, and find themselves among the first too often.
  */
-const GIVEN_SHARE = 0.6;
+const ALLOCATED_SHARE = 0.6;
 
-function placesOf(coldRequestsPerSecond: number): number {
-  return Math.max(1, Math.floor(coldRequestsPerSecond * GIVEN_SHARE));
+function allowedSendersAt(coldRequestsPerSecond: number): number {
+  return Math.max(1, Math.floor(coldRequestsPerSecond * ALLOCATED_SHARE));
 }
 
-export function createColdShare(entries: () => SendingEntries, now: () => number): ColdShare {
+export function createColdStartShare(
+  entries: () => SendingEntries,
+  now: () => number,
+): ColdStartShare {
   const sent = new Map<string, number[]>();
   const ranks = createSenderRanks();
 
-  function recent(instanceId: string): number[] {
+  function sendsInWindow(instanceId: string): number[] {
     const times = sent.get(instanceId) ?? [];
     const from = now() - WINDOW_MILLISECONDS;
     while ((times[0] ?? Infinity) < from) times.shift();
@@ -47,37 +50,37 @@
   }
 
   /** Requests that this entry may send to the server in one second. */
-  function shareOf(instanceId: string, coldRequestsPerSecond: number): number {
+  function ownRequestsPerSecond(instanceId: string, coldRequestsPerSecond: number): number {
     const known = entries();
     const share = Math.floor(coldRequestsPerSecond / Math.max(1, known.count));
     if (share >= 1) return share;
-    return ranks.rankAt(instanceId, known) < placesOf(coldRequestsPerSecond) ? 1 : 0;
+    return ranks.rankAt(instanceId, known) < allowedSendersAt(coldRequestsPerSecond) ? 1 : 0;
   }
 
   return {
-    senders(coldRequestsPerSecond) {
+    senderCount(coldRequestsPerSecond) {
       const { count } = entries();
-      const isForAll = coldRequestsPerSecond <= 0 || coldRequestsPerSecond >= count;
-      return isForAll ? count : placesOf(coldRequestsPerSecond);
+      const mayAllSend = coldRequestsPerSecond <= 0 || coldRequestsPerSecond >= count;
+      return mayAllSend ? count : allowedSendersAt(coldRequestsPerSecond);
     },
-    roomIn(instanceId, coldRequestsPerSecond) {
+    roomInMilliseconds(instanceId, coldRequestsPerSecond) {
       if (coldRequestsPerSecond <= 0) return 0;
-      const share = shareOf(instanceId, coldRequestsPerSecond);
+      const share = ownRequestsPerSecond(instanceId, coldRequestsPerSecond);
       if (share === 0) return Infinity;
-      const times = recent(instanceId);
+      const times = sendsInWindow(instanceId);
       if (times.length < share) return 0;
-      const freeing = times[times.length - share] ?? now();
-      return Math.max(1, freeing + WINDOW_MILLISECONDS - now());
+      const expiringSentAt = times[times.length - share] ?? now();
+      return Math.max(1, expiringSentAt + WINDOW_MILLISECONDS - now());
     },
-    noteSent(instanceId) {
-      const times = recent(instanceId);
+    recordSent(instanceId) {
+      const times = sendsInWindow(instanceId);
       times.push(now());
       sent.set(instanceId, times);
     },
     keepOnly(instanceIds) {
       for (const instanceId of sent.keys()) {
         // A server may be missing from the list for a moment; what it got in this second counts.
-        const isIdle = recent(instanceId).length === 0;
+        const isIdle = sendsInWindow(instanceId).length === 0;
         if (isIdle && !instanceIds.has(instanceId)) sent.delete(instanceId);
       }
       ranks.keepOnly(instanceIds);
--- a/packages/forwarding/src/forward-context.ts
+++ b/packages/forwarding/src/forward-context.ts
@@ -8,22 +8,22 @@
 import type { ArrivalMeter } from './arrival-meter.js';
 import type { CallerAnswer } from './caller-answer.js';
 import type { CallerProtocol, CallerRequest } from './caller-protocol.js';
-import type { ColdShare } from './cold-share.js';
+import type { ColdStartShare } from './cold-start-share.js';
 import type { GroupHealth } from './group-health.js';
 import type { Outcome } from './outcome.js';
 import type { Pulse } from './pulse.js';
-import type { RetryShare } from './retry-share.js';
-import type { ServerLedger } from './server-ledger.js';
+import type { RetryBudgetShare } from './retry-budget-share.js';
+import type { ServerLoadTracker } from './server-load-tracker.js';
 import type { ServerLiveness } from './server-liveness.js';
 import type { ServerStatements } from './server-statements.js';
 
 export interface ForwardContext {
   readonly protocol: CallerProtocol;
   readonly catalog: Catalog;
-  readonly ledger: ServerLedger;
+  readonly ledger: ServerLoadTracker;
   readonly liveness: ServerLiveness;
-  readonly retryShare: RetryShare;
-  readonly coldShare: ColdShare;
+  readonly retryShare: RetryBudgetShare;
+  readonly coldShare: ColdStartShare;
   readonly statements: ServerStatements;
   readonly pulse: Pulse;
   readonly groupHealth: GroupHealth;
--- a/packages/forwarding/src/forwarding-fixture.ts
+++ b/packages/forwarding/src/forwarding-fixture.ts
@@ -12,18 +12,18 @@
 import { createMetrics } from '@lapisbridge/metrics';
 
 import { createCallerListener } from './caller-listener.js';
-import { createColdShare } from './cold-share.js';
+import { createColdStartShare } from './cold-start-share.js';
 import type { ForwardContext } from './forward-context.js';
 import { fixtureProtocol } from './fixture-protocol.js';
 import { createGroupHealth } from './group-health.js';
 import type { GroupHealth } from './group-health.js';
 import { createArrivalMeter } from './arrival-meter.js';
 import { createPulse } from './pulse.js';
-import { createRetryShare } from './retry-share.js';
+import { createRetryBudgetShare } from './retry-budget-share.js';
 import type { SendingEntries } from './sender-rank.js';
 import { createServerBackoffs } from './server-backoffs.js';
 import { createServerDepartures } from './server-departures.js';
-import { createServerLedger } from './server-ledger.js';
+import { createServerLoadTracker } from './server-load-tracker.js';
 import { createServerLiveness } from './server-liveness.js';
 import type { ServerLiveness } from './server-liveness.js';
 import { createServerRateLimits } from './server-rate-limits.js';
@@ -183,14 +183,14 @@
   const context: ForwardContext = {
     protocol: fixtureProtocol,
     catalog,
-    ledger: createServerLedger(now),
+    ledger: createServerLoadTracker(now),
     liveness,
-    retryShare: createRetryShare(
+    retryShare: createRetryBudgetShare(
       () => ({ ratio: 0, slack: options.retrySlack ?? 100, windowMilliseconds: 10_000 }),
       () => 1,
       now,
     ),
-    coldShare: createColdShare(() => options.sendingEntries ?? ALONE, now),
+    coldShare: createColdStartShare(() => options.sendingEntries ?? ALONE, now),
     statements: createServerStatements({
       rateLimits: createServerRateLimits({
         logger,
--- a/packages/forwarding/src/index.ts
+++ b/packages/forwarding/src/index.ts
@@ -15,26 +15,26 @@
   StatedRateLimit,
   StatedRetryAfter,
 } from './caller-protocol.js';
-export { createColdShare } from './cold-share.js';
-export type { ColdShare } from './cold-share.js';
+export { createColdStartShare } from './cold-start-share.js';
+export type { ColdStartShare } from './cold-start-share.js';
 export { endToEndHeaders } from './end-to-end-headers.js';
 export type { ForwardContext } from './forward-context.js';
 export { createGroupHealth } from './group-health.js';
 export type { GroupHealth, RankHealth } from './group-health.js';
 export { createPulse } from './pulse.js';
-export { createRetryShare } from './retry-share.js';
-export type { RetryBounds, RetryShare } from './retry-share.js';
+export { createRetryBudgetShare } from './retry-budget-share.js';
+export type { RetryBudgetLimits, RetryBudgetShare } from './retry-budget-share.js';
 export type { SendingEntries } from './sender-rank.js';
 export { createServerBackoffs } from './server-backoffs.js';
 export type { ServerBackoffs } from './server-backoffs.js';
 export { createServerDepartures } from './server-departures.js';
 export type { ServerDepartures } from './server-departures.js';
-export { createServerLedger } from './server-ledger.js';
-export type { ServerLedger } from './server-ledger.js';
+export { createServerLoadTracker } from './server-load-tracker.js';
+export type { ServerLoadTracker } from './server-load-tracker.js';
 export { createServerLiveness } from './server-liveness.js';
 export type { ServerLiveness } from './server-liveness.js';
 export { createServerRateLimits } from './server-rate-limits.js';
 export type { RateLimitStatement, ServerRateLimits } from './server-rate-limits.js';
 export { createServerStatements } from './server-statements.js';
 export type { ServerStatements } from './server-statements.js';
-export type { StandingStatement } from './standing-statement.js';
+export type { ActiveStatement } from './active-statement.js';
--- a/packages/forwarding/src/plain-attempt.ts
+++ b/packages/forwarding/src/plain-attempt.ts
@@ -13,7 +13,7 @@
 import { lateMilliseconds } from './late-answer.js';
 import { OutcomeKind } from './outcome.js';
 import type { Outcome } from './outcome.js';
-import { judgeRefusal, Verdict } from './server-ledger.js';
+import { verdictOfRefusal, Verdict } from './server-load-tracker.js';
 
 export interface RunningAttempt {
   readonly server: BackendServer;
@@ -59,9 +59,9 @@
 function verdictOf(outcome: Outcome, hasRoom: boolean): Verdict {
   switch (outcome.kind) {
     case OutcomeKind.Answered:
-      return outcome.head.status < 500 ? Verdict.Sound : Verdict.Failing;
+      return outcome.head.status < 500 ? Verdict.Healthy : Verdict.Failing;
     case OutcomeKind.NotRun:
-      return outcome.wasRefused ? judgeRefusal(hasRoom) : Verdict.Failing;
+      return outcome.wasRefused ? verdictOfRefusal(hasRoom) : Verdict.Failing;
     case OutcomeKind.Unknown:
       return Verdict.Failing;
     default: {
@@ -86,22 +86,22 @@
 
   /** A server that hangs is told from a sound one by the time that it was given. */
   function verdictOfCancelled(): Verdict {
-    if (head !== undefined) return Verdict.Sound;
+    if (head !== undefined) return Verdict.Healthy;
     const isLate = context.now() - startedAt >= lateMilliseconds(accepted.route);
-    return isLate ? Verdict.Failing : Verdict.Open;
+    return isLate ? Verdict.Failing : Verdict.Inconclusive;
   }
 
-  ledger.sent(server.instanceId, 0);
-  context.coldShare.noteSent(server.instanceId);
-  context.statements.noteSent(server.instanceId);
+  ledger.recordSent(server.instanceId, 0);
+  context.coldShare.recordSent(server.instanceId);
+  context.statements.recordSent(server.instanceId);
   const outcome = new Promise<Outcome>((resolve) => {
     exchange = openForward(
       { context, accepted, server, lastEventId: request.lastEventId, isMoved: false },
       {
         onHead(incoming) {
-          liveness.heard(server.instanceId);
+          liveness.recordContact(server.instanceId);
           head = protocol.decodeAnswer(incoming);
-          if (head.load !== undefined) ledger.reported(server.instanceId, head.load);
+          if (head.load !== undefined) ledger.recordReport(server.instanceId, head.load);
           context.statements.onAnswer({ server, head, requestId, sentAt: startedAt });
         },
         onData(chunk) {
@@ -114,11 +114,11 @@
           const isCancelled = end.kind === ExchangeEndKind.Cancelled;
           if (isCancelled && head === undefined) context.metrics.countUnansweredSend();
           const wasAnswered = judged.kind === OutcomeKind.Answered;
-          if (wasAnswered) ledger.answered(server.instanceId, context.now() - startedAt, 0);
+          if (wasAnswered) ledger.recordAnswer(server.instanceId, context.now() - startedAt, 0);
           const verdict = isCancelled
             ? verdictOfCancelled()
-            : verdictOf(judged, ledger.hasRoom(server));
-          ledger.ended(server.instanceId, verdict, 0, wasAnswered);
+            : verdictOf(judged, ledger.hasFreeSlot(server));
+          ledger.recordEnd(server.instanceId, verdict, 0, wasAnswered);
           resolve(judged);
         },
       },
--- a/packages/forwarding/src/plan-rate-limit-room.test.ts
+++ b/packages/forwarding/src/plan-rate-limit-delay.test.ts
@@ -1,13 +1,13 @@
 import { createRandom } from '@lapisbridge/kernel';
 import { describe, expect, it } from 'vitest';
 
-import { planRateLimitRoom } from './plan-rate-limit-room.js';
-import type { RateLimitRoomInput } from './plan-rate-limit-room.js';
-import { LIMITED_FROM, playRateLimit } from './play-rate-limit.js';
-import type { RateLimitPlay } from './play-rate-limit.js';
+import { planRateLimitDelay } from './plan-rate-limit-delay.js';
+import type { RateLimitDelayInput } from './plan-rate-limit-delay.js';
+import { LIMITED_FROM_MILLISECONDS, simulateRateLimit } from './simulate-rate-limit.js';
+import type { RateLimitScenario } from './simulate-rate-limit.js';
 
-function room(fields: Partial<RateLimitRoomInput>): number {
-  return planRateLimitRoom({
+function delayWith(fields: Partial<RateLimitDelayInput>): number {
+  return planRateLimitDelay({
     requestsPerSecond: 1,
     rank: 0,
     senders: 7,
@@ -20,28 +20,28 @@
 
 describe('room at a server that states a rate limit', () => {
   it('is there at once for regular senders, and again when the others had their part', () => {
-    expect(room({})).toBe(0);
-    expect(room({ sentAt: [9000] })).toBe(2000);
-    expect(room({ sentAt: [9000], now: 12_000 })).toBe(0);
+    expect(delayWith({})).toBe(0);
+    expect(delayWith({ sentAt: [9000] })).toBe(2000);
+    expect(delayWith({ sentAt: [9000], now: 12_000 })).toBe(0);
   });
 
   it('comes in bursts where one entry may send more than one request a second', () => {
     const sentAt = [9600, 9700, 9800];
-    expect(room({ requestsPerSecond: 8, senders: 2, sentAt })).toBe(0);
-    expect(room({ requestsPerSecond: 8, senders: 2, sentAt: [9500, ...sentAt] })).toBe(500);
+    expect(delayWith({ requestsPerSecond: 8, senders: 2, sentAt })).toBe(0);
+    expect(delayWith({ requestsPerSecond: 8, senders: 2, sentAt: [9500, ...sentAt] })).toBe(500);
   });
 
   it('is there by turns for the others while the server is not heard of', () => {
-    expect(room({ rank: 3 })).toBe(2000);
-    expect(room({ rank: 3, now: 12_000 })).toBe(0);
-    expect(room({ rank: 4, now: 12_000 })).toBe(2000);
-    expect(room({ rank: 3, now: 12_500, sentAt: [12_100] })).toBeGreaterThan(0);
-    expect(room({ rank: 3, now: 14_000 })).toBe(6000);
+    expect(delayWith({ rank: 3 })).toBe(2000);
+    expect(delayWith({ rank: 3, now: 12_000 })).toBe(0);
+    expect(delayWith({ rank: 4, now: 12_000 })).toBe(2000);
+    expect(delayWith({ rank: 3, now: 12_500, sentAt: [12_100] })).toBeGreaterThan(0);
+    expect(delayWith({ rank: 3, now: 14_000 })).toBe(6000);
   });
 
   it('is there now and then at a server that takes nothing, to learn whether it still does', () => {
-    expect(room({ requestsPerSecond: 0 })).toBe(0);
-    expect(room({ requestsPerSecond: 0, sentAt: [9000] })).toBe(7000);
+    expect(delayWith({ requestsPerSecond: 0 })).toBe(0);
+    expect(delayWith({ requestsPerSecond: 0, sentAt: [9000] })).toBe(7000);
   });
 });
 
@@ -65,9 +65,9 @@
     // Guards against shares that add up to more than the server takes from all of them.
     for (const requestsPerSecond of [0, 0.3, 1, 1.1, 4, 17]) {
       for (let seed = 1; seed <= SEEDS; seed += 1) {
-        const play: RateLimitPlay = { seed, requestsPerSecond, ...fields };
-        const { excess } = playRateLimit(play);
-        expect(excess, JSON.stringify(play)).toBeLessThanOrEqual(0);
+        const scenario: RateLimitScenario = { seed, requestsPerSecond, ...fields };
+        const { excess } = simulateRateLimit(scenario);
+        expect(excess, JSON.stringify(scenario)).toBeLessThanOrEqual(0);
       }
     }
   });
@@ -78,7 +78,7 @@
     ['a fleet in which half of the entries have no requests', { ...SMALL, idleShare: 0.5 }],
   ])('use a third of it at least: %s', (_what, fields) => {
     for (let seed = 1; seed <= 5; seed += 1) {
-      const { used } = playRateLimit({ seed, requestsPerSecond: 1, ...fields });
+      const { used } = simulateRateLimit({ seed, requestsPerSecond: 1, ...fields });
       expect(used).toBeGreaterThan(1 / 3);
     }
   });
@@ -90,9 +90,9 @@
   ])('learn within fifteen seconds that it is lifted: %s', (_what, fields) => {
     const random = createRandom(3);
     for (let seed = 1; seed <= 5; seed += 1) {
-      const liftedAt = LIMITED_FROM + 10_000 + Math.floor(10_000 * random());
-      const play = { seed, requestsPerSecond: 0.5, liftedAt, ...fields };
-      expect(playRateLimit(play).liftKnownAfter).toBeLessThan(15_000);
+      const liftedAt = LIMITED_FROM_MILLISECONDS + 10_000 + Math.floor(10_000 * random());
+      const scenario = { seed, requestsPerSecond: 0.5, liftedAt, ...fields };
+      expect(simulateRateLimit(scenario).liftKnownAfter).toBeLessThan(15_000);
     }
   });
 });
--- a/packages/forwarding/src/retry-share.ts
+++ b/packages/forwarding/src/retry-budget-share.ts
@@ -4,35 +4,35 @@
  * ratio of its own requests, and its part of the slack, so no message is needed for the sum to
  * hold; counting too many entries only makes the shares smaller.
  */
-export interface RetryShare {
+export interface RetryBudgetShare {
   /** Counts a caller's request for a service. */
-  count(service: string): void;
+  recordRequest(service: string): void;
   /** Takes one repeat for a service; false when the share is spent. */
-  spend(service: string): boolean;
+  trySpend(service: string): boolean;
 }
 
-export interface RetryBounds {
+export interface RetryBudgetLimits {
   readonly ratio: number;
   readonly slack: number;
   readonly windowMilliseconds: number;
 }
 
 /** Part of the bound that is used, so that requests counted at a window's edge break nothing. */
-const SAFETY = 0.7;
+const USED_SHARE = 0.7;
 
-interface Window {
+interface ServiceWindow {
   readonly requests: number[];
   readonly repeats: number[];
 }
 
-export function createRetryShare(
-  bounds: () => RetryBounds,
+export function createRetryBudgetShare(
+  bounds: () => RetryBudgetLimits,
   entries: () => number,
   now: () => number,
-): RetryShare {
-  const windows = new Map<string, Window>();
+): RetryBudgetShare {
+  const windows = new Map<string, ServiceWindow>();
 
-  function windowOf(service: string): Window {
+  function windowOf(service: string): ServiceWindow {
     let window = windows.get(service);
     if (window === undefined) {
       window = { requests: [], repeats: [] };
@@ -45,13 +45,13 @@
   }
 
   return {
-    count(service) {
+    recordRequest(service) {
       windowOf(service).requests.push(now());
     },
-    spend(service) {
+    trySpend(service) {
       const window = windowOf(service);
       const { ratio, slack } = bounds();
-      const share = SAFETY * (ratio * window.requests.length + slack / Math.max(1, entries()));
+      const share = USED_SHARE * (ratio * window.requests.length + slack / Math.max(1, entries()));
       if (window.repeats.length + 1 > share) return false;
       window.repeats.push(now());
       return true;
--- a/packages/forwarding/src/sender-rank.ts
+++ b/packages/forwarding/src/sender-rank.ts
@@ -21,23 +21,23 @@
 }
 
 export function createSenderRanks(): SenderRanks {
-  let ranked: readonly string[] = [];
+  let rankedNames: readonly string[] = [];
   let rankedCount = 0;
   const ranks = new Map<string, number>();
 
   return {
     rankAt(instanceId, { own, names, count }) {
-      if (names !== ranked || count !== rankedCount) {
-        ranked = names;
+      if (names !== rankedNames || count !== rankedCount) {
+        rankedNames = names;
         rankedCount = count;
         ranks.clear();
       }
       let rank = ranks.get(instanceId);
       if (rank === undefined) {
-        const missing = Math.max(0, count - names.length);
+        const unknownCount = Math.max(0, count - names.length);
         // Named by each entry for itself: with the same names all would be among the first together.
-        const unknown = Array.from({ length: missing }, (_, index) => `${own} ${index}`);
-        rank = rendezvousOrder(instanceId, [...names, ...unknown]).indexOf(own);
+        const placeholders = Array.from({ length: unknownCount }, (_, index) => `${own} ${index}`);
+        rank = rendezvousOrder(instanceId, [...names, ...placeholders]).indexOf(own);
         ranks.set(instanceId, rank);
       }
       return rank;
--- a/packages/forwarding/src/serve-plain.ts
+++ b/packages/forwarding/src/serve-plain.ts
@@ -140,7 +140,7 @@
     if (server === undefined) {
       return startLater(choice);
     }
-    if (progress.sends > 0 && !context.retryShare.spend(service)) {
+    if (progress.sends > 0 && !context.retryShare.trySpend(service)) {
       return none(RefusalCause.BudgetSpent);
     }
     progress.sends += 1;
--- a/packages/forwarding/src/serve-stream.ts
+++ b/packages/forwarding/src/serve-stream.ts
@@ -119,7 +119,7 @@
     const delay = delayOf(context, choice);
     if (delay !== undefined) return { kind: StartKind.Delayed, delay };
     if (server === undefined) return { kind: StartKind.None, cause: causeOf() };
-    if (progress.sends > 0 && !context.retryShare.spend(service)) {
+    if (progress.sends > 0 && !context.retryShare.trySpend(service)) {
       return { kind: StartKind.None, cause: RefusalCause.BudgetSpent };
     }
     progress.sends += 1;
--- a/packages/forwarding/src/server-backoffs.test.ts
+++ b/packages/forwarding/src/server-backoffs.test.ts
@@ -31,7 +31,7 @@
     expect(backoffs.remainingMilliseconds('other')).toBe(0);
     now += 1;
     expect(backoffs.remainingMilliseconds('server')).toBe(0);
-    expect(backoffs.list()).toEqual([]);
+    expect(backoffs.listActive()).toEqual([]);
   });
 
   it('are prolonged by later answers, and not shortened or ended', () => {
@@ -42,7 +42,7 @@
     expect(backoffs.remainingMilliseconds('server')).toBe(2000);
     backoffs.onAnswer('server', refusal(after(4000)));
     expect(backoffs.remainingMilliseconds('server')).toBe(4000);
-    expect(backoffs.list()).toEqual([{ instanceId: 'server', ageMilliseconds: 1000 }]);
+    expect(backoffs.listActive()).toEqual([{ instanceId: 'server', ageMilliseconds: 1000 }]);
   });
 
   it('are asked for by 503 alone, in a time that can be read and is above 0', () => {
@@ -55,15 +55,15 @@
 
   it('are forgotten when they are over, and not before', () => {
     backoffs.onAnswer('server', refusal(after(3000)));
-    backoffs.forgetOver();
+    backoffs.removeExpired();
     expect(backoffs.remainingMilliseconds('server')).toBe(3000);
   });
 
   it('count the requests that are sent meanwhile', () => {
-    backoffs.noteSent('server');
+    backoffs.recordSent('server');
     backoffs.onAnswer('server', refusal(after(3000)));
-    backoffs.noteSent('server');
-    backoffs.noteSent('other');
+    backoffs.recordSent('server');
+    backoffs.recordSent('other');
     expect(backoffs.requestsSent()).toBe(1);
   });
 });
--- a/packages/forwarding/src/server-backoffs.ts
+++ b/packages/forwarding/src/server-backoffs.ts
@@ -6,20 +6,20 @@
 
 import { RetryAfterKind } from './caller-protocol.js';
 import type { AnswerHead } from './caller-protocol.js';
-import type { StandingStatement } from './standing-statement.js';
+import type { ActiveStatement } from './active-statement.js';
 
 export interface ServerBackoffs {
   /** Takes what a server's answer states; the answer has to be the server's own. */
   onAnswer(instanceId: string, head: AnswerHead): void;
   /** Milliseconds until the server may be sent to again; 0 for now. */
   remainingMilliseconds(instanceId: string): number;
-  noteSent(instanceId: string): void;
+  recordSent(instanceId: string): void;
   /** Servers that back off now. */
-  list(): StandingStatement[];
+  listActive(): ActiveStatement[];
   /** Requests sent to servers while they backed off, since the start. */
   requestsSent(): number;
   /** Forgets backoffs that are over, also those of servers that are not asked about any more. */
-  forgetOver(): void;
+  removeExpired(): void;
 }
 
 interface Backoff {
@@ -33,7 +33,7 @@
   const backoffs = new Map<string, Backoff>();
   let requestsSent = 0;
 
-  function current(instanceId: string): Backoff | undefined {
+  function activeBackoff(instanceId: string): Backoff | undefined {
     const backoff = backoffs.get(instanceId);
     if (backoff === undefined || backoff.until > now()) return backoff;
     backoffs.delete(instanceId);
@@ -59,7 +59,7 @@
       const { milliseconds } = retryAfter;
       if (milliseconds === 0) return;
       const until = now() + milliseconds;
-      const before = current(instanceId);
+      const before = activeBackoff(instanceId);
       if (before !== undefined) {
         before.until = Math.max(before.until, until);
         return;
@@ -68,24 +68,24 @@
       logger.info('server backoff', { server: instanceId, milliseconds });
     },
     remainingMilliseconds(instanceId) {
-      const backoff = current(instanceId);
+      const backoff = activeBackoff(instanceId);
       return backoff === undefined ? 0 : backoff.until - now();
     },
-    noteSent(instanceId) {
-      if (current(instanceId) !== undefined) requestsSent += 1;
+    recordSent(instanceId) {
+      if (activeBackoff(instanceId) !== undefined) requestsSent += 1;
     },
-    list() {
-      const listed: StandingStatement[] = [];
+    listActive() {
+      const listed: ActiveStatement[] = [];
       for (const instanceId of [...backoffs.keys()]) {
-        const backoff = current(instanceId);
+        const backoff = activeBackoff(instanceId);
         if (backoff === undefined) continue;
         listed.push({ instanceId, ageMilliseconds: now() - backoff.since });
       }
       return listed;
     },
     requestsSent: () => requestsSent,
-    forgetOver() {
-      for (const instanceId of [...backoffs.keys()]) current(instanceId);
+    removeExpired() {
+      for (const instanceId of [...backoffs.keys()]) activeBackoff(instanceId);
     },
   };
 }
--- a/packages/forwarding/src/server-departures.ts
+++ b/packages/forwarding/src/server-departures.ts
@@ -6,14 +6,14 @@
 import type { Logger } from '@lapisbridge/logger';
 
 import type { AnswerHead } from './caller-protocol.js';
-import type { StandingStatement } from './standing-statement.js';
+import type { ActiveStatement } from './active-statement.js';
 
 export interface ServerDepartures {
   /** Takes what a server's answer states; the answer has to be the server's own. */
   onAnswer(server: BackendServer, head: AnswerHead): void;
   isLeaving(server: BackendServer): boolean;
   /** Servers that leave and are not gone for long. */
-  list(): StandingStatement[];
+  list(): ActiveStatement[];
   /** Forgets servers that are gone or have started anew. */
   keepOnly(servers: ReadonlyMap<string, BackendServer>): void;
 }
@@ -27,7 +27,7 @@
 }
 
 /** A store that was down may list servers again that it had dropped. */
-const GONE_MILLISECONDS = 600_000;
+const RETENTION_MILLISECONDS = 600_000;
 
 export function createServerDepartures(now: () => number, logger: Logger): ServerDepartures {
   const departures = new Map<string, Departure>();
@@ -52,7 +52,7 @@
       return departure !== undefined && !hasRestarted(departure, server);
     },
     list() {
-      const listed: StandingStatement[] = [];
+      const listed: ActiveStatement[] = [];
       for (const [instanceId, { since, goneAt }] of departures) {
         if (goneAt === undefined) listed.push({ instanceId, ageMilliseconds: now() - since });
       }
@@ -69,7 +69,7 @@
         } else if (departure.goneAt === undefined) {
           departure.goneAt = now();
           logger.info('leaving server gone', { server: instanceId });
-        } else if (now() - departure.goneAt > GONE_MILLISECONDS) departures.delete(instanceId);
+        } else if (now() - departure.goneAt > RETENTION_MILLISECONDS) departures.delete(instanceId);
       }
     },
   };
--- a/packages/forwarding/src/server-liveness.test.ts
+++ b/packages/forwarding/src/server-liveness.test.ts
@@ -4,7 +4,7 @@
 
 import { createServerLiveness, planSilenceLimit } from './server-liveness.js';
 
-const REPORT_MILLISECONDS = 170;
+const REPORT_INTERVAL_MILLISECONDS = 170;
 
 function rankServer(rank: number): BackendServer {
   return {
@@ -21,7 +21,7 @@
 }
 
 /** Servers whose sidecars report in turn, except those that have stopped. */
-function playServers(count: number) {
+function simulateServers(count: number) {
   let now = 0;
   const servers = Array.from({ length: count }, (_, rank) => rankServer(rank));
   const liveness = createServerLiveness(() => now, createSilentLogger());
@@ -31,8 +31,8 @@
     run(milliseconds: number, stopped: readonly number[]) {
       for (const until = now + milliseconds; now < until; now += 10) {
         for (const [rank, { instanceId }] of servers.entries()) {
-          const isDue = (now + rank * 10) % REPORT_MILLISECONDS === 0;
-          if (isDue && !stopped.includes(rank)) liveness.heard(instanceId);
+          const isDue = (now + rank * 10) % REPORT_INTERVAL_MILLISECONDS === 0;
+          if (isDue && !stopped.includes(rank)) liveness.recordContact(instanceId);
         }
       }
     },
@@ -42,42 +42,42 @@
 
 describe('a backend server', () => {
   it('is silent some reports after it has stopped, until it is heard again', () => {
-    const played = playServers(16);
-    played.run(2000, []);
-    expect(played.silent()).toBe(0);
-    played.run(200, [3]);
-    expect(played.silent()).toBe(0);
-    played.run(400, [3]);
-    expect(played.silent()).toBe(1);
-    expect(played.liveness.size()).toBe(1);
-    played.run(REPORT_MILLISECONDS, []);
-    expect(played.silent()).toBe(0);
-    expect(played.liveness.size()).toBe(0);
+    const simulation = simulateServers(16);
+    simulation.run(2000, []);
+    expect(simulation.silent()).toBe(0);
+    simulation.run(200, [3]);
+    expect(simulation.silent()).toBe(0);
+    simulation.run(400, [3]);
+    expect(simulation.silent()).toBe(1);
+    expect(simulation.liveness.silentServerCount()).toBe(1);
+    simulation.run(REPORT_INTERVAL_MILLISECONDS, []);
+    expect(simulation.silent()).toBe(0);
+    expect(simulation.liveness.silentServerCount()).toBe(0);
   });
 
   it('is not silent any more where the store lists it for longer than a lease', () => {
     // Guards against servers without work whose sidecar alone has stopped.
-    const played = playServers(16);
-    played.run(5000, [3]);
-    expect(played.silent()).toBe(1);
-    played.run(2000, [3]);
-    expect(played.silent()).toBe(0);
-    expect(played.liveness.size()).toBe(0);
+    const simulation = simulateServers(16);
+    simulation.run(5000, [3]);
+    expect(simulation.silent()).toBe(1);
+    simulation.run(2000, [3]);
+    expect(simulation.silent()).toBe(0);
+    expect(simulation.liveness.silentServerCount()).toBe(0);
   });
 
   it('that was never heard counts from when it is known', () => {
-    const played = playServers(16);
-    played.run(300, [3]);
-    expect(played.silent()).toBe(0);
-    played.run(300, [3]);
-    expect(played.silent()).toBe(1);
+    const simulation = simulateServers(16);
+    simulation.run(300, [3]);
+    expect(simulation.silent()).toBe(0);
+    simulation.run(300, [3]);
+    expect(simulation.silent()).toBe(1);
   });
 
   it('is not silent where most of its service are: the fault is on the way to them', () => {
-    const played = playServers(16);
-    played.run(1000, []);
-    played.run(3000, [0, 1, 2, 3, 4, 5, 6, 7, 8]);
-    expect(played.silent()).toBe(0);
+    const simulation = simulateServers(16);
+    simulation.run(1000, []);
+    simulation.run(3000, [0, 1, 2, 3, 4, 5, 6, 7, 8]);
+    expect(simulation.silent()).toBe(0);
   });
 
   it('without a sidecar is never silent', () => {
--- a/packages/forwarding/src/server-liveness.ts
+++ b/packages/forwarding/src/server-liveness.ts
@@ -9,56 +9,57 @@
 
 export interface ServerLiveness {
   /** A sign of life, given so many milliseconds ago. */
-  heard(instanceId: string, ageMilliseconds?: number): void;
+  recordContact(instanceId: string, ageMilliseconds?: number): void;
   /** Since the last sign of life, or since the server is known; undefined for an unknown one. */
   silenceMilliseconds(instanceId: string): number | undefined;
   /** Whether the server is silent while most of its service are not, and may be gone. */
   isSilent(server: BackendServer): boolean;
   /** Number of servers that were silent when last asked about. */
-  size(): number;
+  silentServerCount(): number;
   /** Takes note of new servers and forgets those that are gone. */
   keepOnly(servers: ReadonlyMap<string, BackendServer>): void;
 }
 
 /** Two reports of a sidecar, so that a lost one changes nothing. */
-const SHORTEST_SILENCE_MILLISECONDS = 400;
+const MINIMUM_SILENCE_LIMIT_MILLISECONDS = 400;
 /** Half of the servers reported within half the pace of reports: two reports may be lost. */
 const MEDIAN_FACTOR = 4;
 /**
  * The store lists no server whose own heartbeats have ceased for so long. One that is still listed
  * has only lost its sidecar, and must not stay without work.
  */
-const LEASE_MILLISECONDS = 6000;
+const STORE_LEASE_MILLISECONDS = 6000;
 /** The limit is worked out anew after this long. */
-const LIMIT_MILLISECONDS = 50;
+const LIMIT_CACHE_MILLISECONDS = 50;
 
 /** Longest silence of a server that may be well, given the silences of all servers like it. */
 export function planSilenceLimit(silences: readonly number[]): number {
   const sorted = [...silences].sort((left, right) => left - right);
   const median = sorted[Math.floor(sorted.length / 2)];
   if (median === undefined) return Infinity;
-  return Math.max(SHORTEST_SILENCE_MILLISECONDS, median * MEDIAN_FACTOR);
+  return Math.max(MINIMUM_SILENCE_LIMIT_MILLISECONDS, median * MEDIAN_FACTOR);
 }
 
-interface Limit {
+interface CachedLimit {
   readonly at: number;
   readonly milliseconds: number;
 }
 
 export function createServerLiveness(now: () => number, logger: Logger): ServerLiveness {
   let known: ReadonlyMap<string, BackendServer> = new Map();
-  const heardAt = new Map<string, number>();
-  const limits = new Map<string, Limit>();
+  const lastContactAt = new Map<string, number>();
+  const limits = new Map<string, CachedLimit>();
   const silentSince = new Map<string, number>();
 
   function silenceMilliseconds(instanceId: string): number | undefined {
-    const at = heardAt.get(instanceId);
+    const at = lastContactAt.get(instanceId);
     return at === undefined ? undefined : now() - at;
   }
 
-  function limitOf(service: string): number {
+  function silenceLimitOf(service: string): number {
     const limit = limits.get(service);
-    if (limit !== undefined && now() - limit.at < LIMIT_MILLISECONDS) return limit.milliseconds;
+    if (limit !== undefined && now() - limit.at < LIMIT_CACHE_MILLISECONDS)
+      return limit.milliseconds;
     const silences: number[] = [];
     for (const server of known.values()) {
       if (server.service !== service || server.groupRank === undefined) continue;
@@ -70,11 +71,11 @@
   }
 
   return {
-    heard(instanceId, ageMilliseconds = 0) {
+    recordContact(instanceId, ageMilliseconds = 0) {
       const at = now() - ageMilliseconds;
-      const before = heardAt.get(instanceId);
+      const before = lastContactAt.get(instanceId);
       if (before === undefined || before >= at) return;
-      heardAt.set(instanceId, at);
+      lastContactAt.set(instanceId, at);
       const since = silentSince.get(instanceId);
       if (since === undefined) return;
       silentSince.delete(instanceId);
@@ -88,8 +89,8 @@
       // Only servers of lock-step groups have a sidecar; the others are silent between requests.
       if (groupRank === undefined) return false;
       const silence = silenceMilliseconds(instanceId) ?? 0;
-      const limit = limitOf(service);
-      const isSilent = silence > limit && silence < LEASE_MILLISECONDS;
+      const limit = silenceLimitOf(service);
+      const isSilent = silence > limit && silence < STORE_LEASE_MILLISECONDS;
       if (!isSilent && silentSince.delete(instanceId)) {
         logger.info('silent backend server still listed', { server: instanceId });
       }
@@ -103,15 +104,15 @@
       }
       return isSilent;
     },
-    size: () => silentSince.size,
+    silentServerCount: () => silentSince.size,
     keepOnly(servers) {
       known = servers;
       for (const instanceId of servers.keys()) {
-        if (!heardAt.has(instanceId)) heardAt.set(instanceId, now());
+        if (!lastContactAt.has(instanceId)) lastContactAt.set(instanceId, now());
       }
-      for (const instanceId of heardAt.keys()) {
+      for (const instanceId of lastContactAt.keys()) {
         if (servers.has(instanceId)) continue;
-        heardAt.delete(instanceId);
+        lastContactAt.delete(instanceId);
         if (silentSince.delete(instanceId)) {
           logger.info('silent backend server removed', { server: instanceId });
         }
--- /dev/null
+++ b/packages/forwarding/src/server-load-tracker.ts
@@ -0,0 +1,200 @@
+/**
+ * What this entry knows of each backend server's load and soundness: its own requests there,
+ * the server's last report, and how recent requests went. A report lags, so it is corrected by
+ * what this entry has sent and seen ended since.
+ */
+import type { BackendServer } from '@lapisbridge/catalog';
+import type { ServerView } from '@lapisbridge/routing';
+
+import type { ReportedLoad } from './caller-protocol.js';
+
+/** What the end of an attempt says of its server. */
+export enum Verdict {
+  Healthy = 'sound',
+  Failing = 'failing',
+  /** It was given up before the server could have answered. */
+  Inconclusive = 'open',
+}
+
+/**
+ * What a refusal says of its server. A full server is neither sound nor failing; one that refuses
+ * with slots free fails, and would draw every request by its low load.
+ */
+export function verdictOfRefusal(hasFreeSlot: boolean): Verdict {
+  return hasFreeSlot ? Verdict.Failing : Verdict.Inconclusive;
+}
+
+export interface ServerLoadTracker {
+  recordSent(instanceId: string, promptTokens: number): void;
+  /** A stream's first event, or a whole answer, came after this time. */
+  recordAnswer(instanceId: string, milliseconds: number, promptTokens: number): void;
+  recordEnd(instanceId: string, verdict: Verdict, promptTokens: number, wasAnswered: boolean): void;
+  /** `ageMilliseconds`: how long ago the load was read, where it was relayed. */
+  recordReport(instanceId: string, load: ReportedLoad, ageMilliseconds?: number): void;
+  /** Own requests now at the server. */
+  inFlight(instanceId: string): number;
+  /** Whether requests wait at the server, by its last report. */
+  isQueueing(instanceId: string): boolean;
+  /** Whether the server had a free slot, by its last report; false where there is none to go by. */
+  hasFreeSlot(server: BackendServer): boolean;
+  /** `senders` are the entries that send to the same servers. */
+  view(
+    server: BackendServer,
+    limits: Pick<
+      ServerView,
+      'roomInMilliseconds' | 'backoffMilliseconds' | 'brokenForMilliseconds' | 'isSilent'
+    >,
+    senders: number,
+  ): ServerView;
+  /** Forgets servers that are gone. */
+  keepOnly(instanceIds: ReadonlyMap<string, unknown>): void;
+}
+
+interface ServerRecord {
+  inFlight: number;
+  unreadTokens: number;
+  typicalMilliseconds: number;
+  suspicion: number;
+  suspicionAt: number;
+  report: ReportedLoad | undefined;
+  reportAt: number;
+  /** Own requests there when the report was taken. */
+  inFlightAtReport: number;
+}
+
+/** Weight of the newest time in the running mean: about the last ten answers count. */
+const NEWEST_ANSWER_WEIGHT = 0.1;
+/** Half-life of a failure: a server that recovers gets work again after a few seconds. */
+const SUSPICION_HALF_LIFE_MILLISECONDS = 2500;
+/** One sound answer takes this share of the doubt away. */
+const HEALTHY_ANSWER_FACTOR = 0.75;
+const MAXIMUM_SUSPICION = 6;
+/** Reports older than this say nothing any more. */
+const MAXIMUM_REPORT_AGE_MILLISECONDS = 1500;
+
+export function createServerLoadTracker(now: () => number): ServerLoadTracker {
+  const records = new Map<string, ServerRecord>();
+
+  function recordOf(instanceId: string): ServerRecord {
+    let record = records.get(instanceId);
+    if (record === undefined) {
+      record = {
+        inFlight: 0,
+        unreadTokens: 0,
+        typicalMilliseconds: 0,
+        suspicion: 0,
+        suspicionAt: 0,
+        report: undefined,
+        reportAt: -Infinity,
+        inFlightAtReport: 0,
+      };
+      records.set(instanceId, record);
+    }
+    return record;
+  }
+
+  function decayedSuspicion(record: ServerRecord): number {
+    const age = now() - record.suspicionAt;
+    return record.suspicion * 0.5 ** (age / SUSPICION_HALF_LIFE_MILLISECONDS);
+  }
+
+  function reportAge(record: ServerRecord): number | undefined {
+    const age = now() - record.reportAt;
+    return age > MAXIMUM_REPORT_AGE_MILLISECONDS ? undefined : age;
+  }
+
+  function outstanding(record: ServerRecord): number {
+    const { report } = record;
+    if (report === undefined || reportAge(record) === undefined) return record.inFlight;
+    return Math.max(record.inFlight, report.running + report.waiting + inFlightGrowth(record));
+  }
+
+  /** Own requests there, more or fewer than when the report was taken. */
+  function inFlightGrowth(record: ServerRecord): number {
+    return record.inFlight - record.inFlightAtReport;
+  }
+
+  /** Where this entry sends, others do too: all have seen the same report. */
+  function expected(record: ServerRecord, senders: number): number {
+    const unseen = reportAge(record) === undefined ? 0 : Math.max(0, inFlightGrowth(record));
+    return outstanding(record) + unseen * Math.max(0, senders - 1);
+  }
+
+  return {
+    recordSent(instanceId, promptTokens) {
+      const record = recordOf(instanceId);
+      record.inFlight += 1;
+      record.unreadTokens += promptTokens;
+    },
+    recordAnswer(instanceId, milliseconds, promptTokens) {
+      const record = recordOf(instanceId);
+      record.unreadTokens = Math.max(0, record.unreadTokens - promptTokens);
+      record.typicalMilliseconds =
+        record.typicalMilliseconds === 0
+          ? milliseconds
+          : record.typicalMilliseconds +
+            (milliseconds - record.typicalMilliseconds) * NEWEST_ANSWER_WEIGHT;
+    },
+    recordEnd(instanceId, verdict, promptTokens, wasAnswered) {
+      const record = recordOf(instanceId);
+      record.inFlight = Math.max(0, record.inFlight - 1);
+      if (!wasAnswered) record.unreadTokens = Math.max(0, record.unreadTokens - promptTokens);
+      const suspicion = decayedSuspicion(record);
+      switch (verdict) {
+        case Verdict.Healthy:
+          record.suspicion = suspicion * HEALTHY_ANSWER_FACTOR;
+          break;
+        case Verdict.Failing:
+          record.suspicion = Math.min(MAXIMUM_SUSPICION, suspicion + 1);
+          break;
+        case Verdict.Inconclusive:
+          record.suspicion = suspicion;
+          break;
+        default: {
+          const unreachable: never = verdict;
+          throw new Error(String(unreachable));
+        }
+      }
+      record.suspicionAt = now();
+    },
+    recordReport(instanceId, load, ageMilliseconds = 0) {
+      const record = recordOf(instanceId);
+      const reportAt = now() - ageMilliseconds;
+      if (reportAt < record.reportAt) return;
+      record.report = load;
+      record.reportAt = reportAt;
+      record.inFlightAtReport = record.inFlight;
+    },
+    isQueueing(instanceId) {
+      const record = records.get(instanceId);
+      if (record?.report === undefined || reportAge(record) === undefined) return false;
+      return record.report.waiting > 0;
+    },
+    hasFreeSlot({ instanceId, slots }) {
+      const record = records.get(instanceId);
+      if (record?.report === undefined || reportAge(record) === undefined) return false;
+      return record.report.running + record.report.waiting < slots;
+    },
+    inFlight: (instanceId) => records.get(instanceId)?.inFlight ?? 0,
+    view(server, limits, senders) {
+      const record = recordOf(server.instanceId);
+      return {
+        instanceId: server.instanceId,
+        availabilityZone: server.availabilityZone,
+        slots: server.slots,
+        outstanding: outstanding(record),
+        expected: expected(record, senders),
+        unreadTokens: record.unreadTokens,
+        typicalMilliseconds: record.typicalMilliseconds,
+        reportAge: reportAge(record),
+        suspicion: decayedSuspicion(record),
+        ...limits,
+      };
+    },
+    keepOnly(instanceIds) {
+      for (const [instanceId, record] of records) {
+        if (!instanceIds.has(instanceId) && record.inFlight === 0) records.delete(instanceId);
+      }
+    },
+  };
+}
--- a/packages/forwarding/src/server-rate-limits.test.ts
+++ b/packages/forwarding/src/server-rate-limits.test.ts
@@ -81,15 +81,19 @@
 
   it('are taken from other entries where they are newer', () => {
     const limits = limited();
-    limits.onTold([{ instanceId: 'server', requestsPerSecond: 9, ageMilliseconds: 400 }]);
+    limits.onPeerStatements([{ instanceId: 'server', requestsPerSecond: 9, ageMilliseconds: 400 }]);
     expect(limits.limitOf('server')).toBe(1.5);
-    limits.onTold([{ instanceId: 'server', requestsPerSecond: 2, ageMilliseconds: 20 }]);
+    limits.onPeerStatements([{ instanceId: 'server', requestsPerSecond: 2, ageMilliseconds: 20 }]);
     expect(limits.limitOf('server')).toBe(2);
     now += 500;
-    limits.onTold([{ instanceId: 'server', requestsPerSecond: undefined, ageMilliseconds: 100 }]);
+    limits.onPeerStatements([
+      { instanceId: 'server', requestsPerSecond: undefined, ageMilliseconds: 100 },
+    ]);
     expect(limits.limitOf('server')).toBeUndefined();
     // A server that was never known to be limited is not worth remembering.
-    limits.onTold([{ instanceId: 'other', requestsPerSecond: undefined, ageMilliseconds: 0 }]);
+    limits.onPeerStatements([
+      { instanceId: 'other', requestsPerSecond: undefined, ageMilliseconds: 0 },
+    ]);
     expect(limits.statements()).toHaveLength(1);
   });
 
--- a/packages/forwarding/src/server-rate-limits.ts
+++ b/packages/forwarding/src/server-rate-limits.ts
@@ -8,7 +8,7 @@
 import { isSuccess } from './answer-head.js';
 import { RateLimitKind } from './caller-protocol.js';
 import type { AnswerHead } from './caller-protocol.js';
-import { planRateLimitRoom } from './plan-rate-limit-room.js';
+import { planRateLimitDelay } from './plan-rate-limit-delay.js';
 import { createSenderRanks } from './sender-rank.js';
 import type { SendingEntries } from './sender-rank.js';
 
@@ -33,7 +33,7 @@
   /** Takes what the head of a server's answer states. */
   onAnswer(answer: RateLimitedAnswer): void;
   /** Takes what another entry tells. */
-  onTold(statements: readonly RateLimitStatement[]): void;
+  onPeerStatements(statements: readonly RateLimitStatement[]): void;
   /** Statements for other entries, with limits that were lifted a short time ago. */
   statements(): RateLimitStatement[];
   /** Requests a second that the server takes from all entries; undefined where it has no limit. */
@@ -42,10 +42,10 @@
    * Milliseconds until this entry may send one more request to the server; 0 for now. `senders` is
    * the number of entries that may send to it.
    */
-  roomIn(instanceId: string, senders: number): number;
-  noteSent(instanceId: string): void;
+  roomInMilliseconds(instanceId: string, senders: number): number;
+  recordSent(instanceId: string): void;
   /** Number of servers with a limit. */
-  size(): number;
+  limitedServerCount(): number;
   /** Requests sent to servers with a limit since the start. */
   requestsSent(): number;
   /** Forgets servers that are gone. */
@@ -61,7 +61,7 @@
 }
 
 /** How a statement reached this entry. */
-enum Source {
+enum StatementSource {
   Answer = 'answer',
   Entry = 'entry',
 }
@@ -74,13 +74,13 @@
 }
 
 /** Long enough that every entry is told that a limit is lifted. */
-const LIFTED_MILLISECONDS = 10_000;
+const LIFTED_RETENTION_MILLISECONDS = 10_000;
 /** A server may be missing from the list for a moment while the store is slow. */
-const ABSENT_MILLISECONDS = 30_000;
+const ABSENT_RETENTION_MILLISECONDS = 30_000;
 /** Longer than the slowest regular sender waits between two requests. */
-const SENT_MILLISECONDS = 15_000;
+const SENT_RETENTION_MILLISECONDS = 15_000;
 /** What is told ages on its way: a statement that differs by less is the same one. */
-const AGE_STEP_MILLISECONDS = 50;
+const AGE_TOLERANCE_MILLISECONDS = 50;
 
 export function createServerRateLimits(options: ServerRateLimitsOptions): ServerRateLimits {
   const { logger, now } = options;
@@ -92,11 +92,11 @@
     return known.get(instanceId)?.requestsPerSecond;
   }
 
-  function take(
+  function applyStatement(
     instanceId: string,
     requestsPerSecond: number | undefined,
     statedAt: number,
-    source: Source,
+    source: StatementSource,
   ): void {
     const before = known.get(instanceId);
     const sentAt = before?.sentAt ?? [];
@@ -115,14 +115,14 @@
       const { rateLimit } = head;
       switch (rateLimit.kind) {
         case RateLimitKind.Stated:
-          take(instanceId, rateLimit.requestsPerSecond, now(), Source.Answer);
+          applyStatement(instanceId, rateLimit.requestsPerSecond, now(), StatementSource.Answer);
           return;
         case RateLimitKind.None: {
           const before = known.get(instanceId);
           if (before?.requestsPerSecond === undefined) return;
           // A failure, or the answer to an earlier request, does not lift a limit.
           if (!isSuccess(head.status) || sentAt < before.statedAt) return;
-          take(instanceId, undefined, now(), Source.Answer);
+          applyStatement(instanceId, undefined, now(), StatementSource.Answer);
           return;
         }
         case RateLimitKind.Unreadable:
@@ -134,20 +134,21 @@
         }
       }
     },
-    onTold(statements) {
+    onPeerStatements(statements) {
       for (const { instanceId, requestsPerSecond, ageMilliseconds } of statements) {
         const statedAt = now() - ageMilliseconds;
         const before = known.get(instanceId);
-        if (before !== undefined && statedAt <= before.statedAt + AGE_STEP_MILLISECONDS) continue;
+        if (before !== undefined && statedAt <= before.statedAt + AGE_TOLERANCE_MILLISECONDS)
+          continue;
         if (before === undefined && requestsPerSecond === undefined) continue;
-        take(instanceId, requestsPerSecond, statedAt, Source.Entry);
+        applyStatement(instanceId, requestsPerSecond, statedAt, StatementSource.Entry);
       }
     },
     statements() {
       const told: RateLimitStatement[] = [];
       for (const [instanceId, { requestsPerSecond, statedAt }] of known) {
         const ageMilliseconds = now() - statedAt;
-        if (requestsPerSecond === undefined && ageMilliseconds > LIFTED_MILLISECONDS) {
+        if (requestsPerSecond === undefined && ageMilliseconds > LIFTED_RETENTION_MILLISECONDS) {
           known.delete(instanceId);
         } else {
           told.push({ instanceId, requestsPerSecond, ageMilliseconds });
@@ -156,11 +157,11 @@
       return told;
     },
     limitOf,
-    roomIn(instanceId, senders) {
+    roomInMilliseconds(instanceId, senders) {
       const statement = known.get(instanceId);
       if (statement?.requestsPerSecond === undefined) return 0;
       const { requestsPerSecond, statedAt, sentAt } = statement;
-      return planRateLimitRoom({
+      return planRateLimitDelay({
         requestsPerSecond,
         rank: ranks.rankAt(instanceId, options.entries()),
         senders,
@@ -169,15 +170,15 @@
         now: now(),
       });
     },
-    noteSent(instanceId) {
+    recordSent(instanceId) {
       const statement = known.get(instanceId);
       if (statement?.requestsPerSecond === undefined) return;
       const { sentAt } = statement;
       sentAt.push(now());
-      while ((sentAt[0] ?? Infinity) < now() - SENT_MILLISECONDS) sentAt.shift();
+      while ((sentAt[0] ?? Infinity) < now() - SENT_RETENTION_MILLISECONDS) sentAt.shift();
       requestsSent += 1;
     },
-    size() {
+    limitedServerCount() {
       let limited = 0;
       for (const { requestsPerSecond } of known.values()) {
         if (requestsPerSecond !== undefined) limited += 1;
@@ -187,7 +188,8 @@
     requestsSent: () => requestsSent,
     keepOnly(instanceIds) {
       for (const [instanceId, { statedAt }] of known) {
-        if (instanceIds.has(instanceId) || now() - statedAt < ABSENT_MILLISECONDS) continue;
+        if (instanceIds.has(instanceId) || now() - statedAt < ABSENT_RETENTION_MILLISECONDS)
+          continue;
         known.delete(instanceId);
       }
       ranks.keepOnly(instanceIds);
--- a/packages/forwarding/src/server-statements.ts
+++ b/packages/forwarding/src/server-statements.ts
@@ -12,7 +12,7 @@
 import type { ServerRateLimits } from './server-rate-limits.js';
 
 /** One answer of a server. */
-export interface StatingAnswer {
+export interface ServerAnswer {
   readonly server: BackendServer;
   readonly head: AnswerHead;
   /** Id and time of the request that it answers. */
@@ -21,7 +21,7 @@
 }
 
 /** What a server has stated of the requests that it takes from this entry now. */
-export interface StatedAdmission {
+export interface ServerAdmission {
   /** It takes none any more. */
   readonly isLeaving: boolean;
   /** Milliseconds for which it has asked to be sent nothing; 0 where it has not. */
@@ -31,10 +31,10 @@
 }
 
 export interface ServerStatements {
-  onAnswer(answer: StatingAnswer): void;
-  noteSent(instanceId: string): void;
+  onAnswer(answer: ServerAnswer): void;
+  recordSent(instanceId: string): void;
   /** `senders` is the number of entries that may send to the server. */
-  admission(server: BackendServer, senders: number): StatedAdmission;
+  admission(server: BackendServer, senders: number): ServerAdmission;
   /** Requests a second that the server takes from all entries; undefined where it has no limit. */
   rateLimitOf(instanceId: string): number | undefined;
   /** Forgets servers that are gone. */
@@ -58,23 +58,23 @@
       backoffs.onAnswer(instanceId, head);
       departures.onAnswer(server, head);
     },
-    noteSent(instanceId) {
-      rateLimits.noteSent(instanceId);
-      backoffs.noteSent(instanceId);
+    recordSent(instanceId) {
+      rateLimits.recordSent(instanceId);
+      backoffs.recordSent(instanceId);
     },
     admission(server, senders) {
       const { instanceId } = server;
       return {
         isLeaving: departures.isLeaving(server),
         backoffMilliseconds: backoffs.remainingMilliseconds(instanceId),
-        roomInMilliseconds: rateLimits.roomIn(instanceId, senders),
+        roomInMilliseconds: rateLimits.roomInMilliseconds(instanceId, senders),
       };
     },
     rateLimitOf: (instanceId) => rateLimits.limitOf(instanceId),
     keepOnly(servers) {
       rateLimits.keepOnly(servers);
       departures.keepOnly(servers);
-      backoffs.forgetOver();
+      backoffs.removeExpired();
     },
   };
 }
--- a/packages/forwarding/src/shares.test.ts
+++ b/packages/forwarding/src/shares.test.ts
@@ -2,8 +2,8 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 
-import { createColdShare } from './cold-share.js';
-import { createRetryShare } from './retry-share.js';
+import { createColdStartShare } from './cold-start-share.js';
+import { createRetryBudgetShare } from './retry-budget-share.js';
 
 const BOUNDS = { ratio: 0.2, slack: 90, windowMilliseconds: 10_000 };
 
@@ -33,7 +33,7 @@
       fc.property(steps, (played: Step[]) => {
         let now = 0;
         const shares = Array.from({ length: 7 }, () =>
-          createRetryShare(
+          createRetryBudgetShare(
             () => BOUNDS,
             () => 7,
             () => now,
@@ -43,10 +43,10 @@
         const repeats: number[] = [];
         for (const { entry, wait, repeats: wanted } of played) {
           now += wait;
-          shares[entry]?.count('service');
+          shares[entry]?.recordRequest('service');
           requests.push(now);
           for (let index = 0; index < wanted; index += 1) {
-            if (shares[entry]?.spend('service') === true) repeats.push(now);
+            if (shares[entry]?.trySpend('service') === true) repeats.push(now);
           }
           const from = now - BOUNDS.windowMilliseconds;
           const inWindow = (times: number[]): number => times.filter((at) => at >= from).length;
@@ -67,7 +67,7 @@
       fc.property(steps, (played: Step[]) => {
         let now = 0;
         const shares = Array.from({ length: 7 }, () =>
-          createColdShare(
+          createColdStartShare(
             () => ENTRIES,
             () => now,
           ),
@@ -76,8 +76,8 @@
         for (const { entry, wait } of played) {
           now += wait / 20;
           const share = shares[entry];
-          if (share?.roomIn('server', rate) === 0) {
-            share.noteSent('server');
+          if (share?.roomInMilliseconds('server', rate) === 0) {
+            share.recordSent('server');
             sent.push(now);
           }
           const from = now - 1000;
@@ -96,12 +96,12 @@
     for (const server of ['one', 'two', 'three']) {
       let sent = 0;
       for (const own of names) {
-        const share = createColdShare(
+        const share = createColdStartShare(
           () => ({ own, names, count: names.length }),
           () => now,
         );
-        while (share.roomIn(server, rate) === 0) {
-          share.noteSent(server);
+        while (share.roomInMilliseconds(server, rate) === 0) {
+          share.recordSent(server);
           sent += 1;
         }
       }
@@ -122,11 +122,11 @@
       for (const own of names) {
         const known = pickSome(names, 15 + Math.floor(30 * random()), random);
         const view = known.includes(own) ? known : [...known, own];
-        const share = createColdShare(
+        const share = createColdStartShare(
           () => ({ own, names: view, count: view.length }),
           () => 0,
         );
-        if (share.roomIn(`server-${server}`, rate) === 0) sent += 1;
+        if (share.roomInMilliseconds(`server-${server}`, rate) === 0) sent += 1;
       }
       expect(sent, `server ${server}`).toBeLessThanOrEqual(rate * 1.5 + 5);
     }
@@ -134,39 +134,39 @@
 
   it('tells when there is room again', () => {
     let now = 0;
-    const share = createColdShare(
+    const share = createColdStartShare(
       () => ENTRIES,
       () => now,
     );
-    share.noteSent('server');
+    share.recordSent('server');
     now = 300;
-    expect(share.roomIn('server', 7)).toBe(700);
+    expect(share.roomInMilliseconds('server', 7)).toBe(700);
     now = 1001;
-    expect(share.roomIn('server', 7)).toBe(0);
+    expect(share.roomInMilliseconds('server', 7)).toBe(0);
   });
 
   it('of a server that is missing from the list for a moment are not begun anew', () => {
     // A row of the list lapses while the store is slow and is back a moment later. Entries that had
     // forgotten what they sent would send a cold server twice what it bears, and it would crash.
     let now = 0;
-    const share = createColdShare(
+    const share = createColdStartShare(
       () => ENTRIES,
       () => now,
     );
-    share.noteSent('server');
+    share.recordSent('server');
     share.keepOnly(new Map());
-    expect(share.roomIn('server', 7)).toBeGreaterThan(0);
+    expect(share.roomInMilliseconds('server', 7)).toBeGreaterThan(0);
     now = 1500;
     share.keepOnly(new Map());
-    expect(share.roomIn('server', 7)).toBe(0);
+    expect(share.roomInMilliseconds('server', 7)).toBe(0);
   });
 
   it('leaves a server without a cold phase alone', () => {
-    const share = createColdShare(
+    const share = createColdStartShare(
       () => ENTRIES,
       () => 0,
     );
-    for (let index = 0; index < 100; index += 1) share.noteSent('server');
-    expect(share.roomIn('server', 0)).toBe(0);
+    for (let index = 0; index < 100; index += 1) share.recordSent('server');
+    expect(share.roomInMilliseconds('server', 0)).toBe(0);
   });
 });
--- a/packages/forwarding/src/silent-server.test.ts
+++ b/packages/forwarding/src/silent-server.test.ts
@@ -64,7 +64,7 @@
 beforeEach(() => {
   reporting = new Set(NAMES);
   reports = setInterval(() => {
-    for (const name of reporting) fixture.liveness.heard(name);
+    for (const name of reporting) fixture.liveness.recordContact(name);
   }, 50);
 });
 
--- a/packages/forwarding/src/play-rate-limit.ts
+++ b/packages/forwarding/src/simulate-rate-limit.ts
@@ -12,7 +12,7 @@
 import { createServerRateLimits } from './server-rate-limits.js';
 import type { RateLimitStatement, ServerRateLimits } from './server-rate-limits.js';
 
-export interface RateLimitPlay {
+export interface RateLimitScenario {
   readonly seed: number;
   readonly entries: number;
   /** Entries that may send to the server; all of them without it. */
@@ -33,7 +33,7 @@
   readonly knownShare?: number;
 }
 
-export interface RateLimitTally {
+export interface RateLimitResult {
   /** Most requests in a window, less what the bound allows; above 0 the bound is broken. */
   readonly excess: number;
   /** Requests that arrived in the last ten seconds of the limit, a second. */
@@ -42,21 +42,21 @@
   readonly liftKnownAfter: number;
 }
 
-export const LIMITED_FROM = 1000;
-const PLAY_MILLISECONDS = 40_000;
-const PAUSED_FROM = 6000;
+export const LIMITED_FROM_MILLISECONDS = 1000;
+const SIMULATED_MILLISECONDS = 40_000;
+const PAUSED_FROM_MILLISECONDS = 6000;
 const SERVER = 'server';
 const STEP_MILLISECONDS = 20;
-const DIGEST_MILLISECONDS = 500;
+const GOSSIP_INTERVAL_MILLISECONDS = 500;
 /** Entries that are told at a time. */
-const TOLD_ENTRIES = 10;
-const LONGEST_RELAY_MILLISECONDS = 400;
-const LONGEST_ANSWER_MILLISECONDS = 1200;
+const GOSSIP_FANOUT = 10;
+const MAXIMUM_GOSSIP_DELAY_MILLISECONDS = 400;
+const MAXIMUM_ANSWER_MILLISECONDS = 1200;
 /** The users' rule: from this time on the bound holds for every window. */
-const CONTACT_MILLISECONDS = 3000;
+const GRACE_MILLISECONDS = 3000;
 const WINDOW_MILLISECONDS = 4000;
-const OVERSHOOT = 1.5;
-const SLACK_REQUESTS = 5;
+const TOLERATED_FACTOR = 1.5;
+const TOLERATED_REQUESTS = 5;
 const MEASURED_MILLISECONDS = 10_000;
 
 interface Delivery {
@@ -64,7 +64,7 @@
   run(): void;
 }
 
-function headStating(requestsPerSecond: number | undefined): AnswerHead {
+function headWithLimit(requestsPerSecond: number | undefined): AnswerHead {
   if (requestsPerSecond === undefined) return headWith();
   return headWith({ rateLimit: { kind: RateLimitKind.Stated, requestsPerSecond } });
 }
@@ -74,19 +74,24 @@
   let first = 0;
   for (const [index, at] of arrivals.entries()) {
     while ((arrivals[first] ?? at) < at - WINDOW_MILLISECONDS) first += 1;
-    if (at < LIMITED_FROM + CONTACT_MILLISECONDS) continue;
+    if (at < LIMITED_FROM_MILLISECONDS + GRACE_MILLISECONDS) continue;
     excess = Math.max(excess, index - first + 1 - allowed);
   }
   return excess;
 }
 
-export function playRateLimit(play: RateLimitPlay): RateLimitTally {
-  const { requestsPerSecond, demand, pausedUntil = 0, liftedAt = PLAY_MILLISECONDS } = play;
-  const random = createRandom(play.seed);
-  const names = Array.from({ length: play.entries }, (_, index) => `entry-${index}`);
-  const senders = play.senders ?? play.entries;
-  const idle = Math.floor(senders * (play.idleShare ?? 0));
-  const demanding = new Set(
+export function simulateRateLimit(scenario: RateLimitScenario): RateLimitResult {
+  const {
+    requestsPerSecond,
+    demand,
+    pausedUntil = 0,
+    liftedAt = SIMULATED_MILLISECONDS,
+  } = scenario;
+  const random = createRandom(scenario.seed);
+  const names = Array.from({ length: scenario.entries }, (_, index) => `entry-${index}`);
+  const senders = scenario.senders ?? scenario.entries;
+  const idle = Math.floor(senders * (scenario.idleShare ?? 0));
+  const sendingNames = new Set(
     pickSome(rendezvousOrder(SERVER, names).slice(0, senders), senders - idle, random),
   );
   let now = 0;
@@ -96,7 +101,7 @@
 
   const entries: ServerRateLimits[] = names.map((own) => {
     const others = names.filter((name) => name !== own);
-    const count = Math.round(others.length * (play.knownShare ?? 1));
+    const count = Math.round(others.length * (scenario.knownShare ?? 1));
     const view = { own, names: [own, ...pickSome(others, count, random)], count: names.length };
     return createServerRateLimits({
       logger: createSilentLogger(),
@@ -107,29 +112,29 @@
   });
 
   function limitNow(): number | undefined {
-    return now >= LIMITED_FROM && now < liftedAt ? requestsPerSecond : undefined;
+    return now >= LIMITED_FROM_MILLISECONDS && now < liftedAt ? requestsPerSecond : undefined;
   }
 
-  function later(milliseconds: number, run: () => void): void {
+  function schedule(milliseconds: number, run: () => void): void {
     deliveries.push({ at: now + milliseconds, run });
   }
 
-  function tell(from: ServerRateLimits): void {
+  function gossip(from: ServerRateLimits): void {
     const statements: RateLimitStatement[] = from.statements();
     if (statements.length === 0) return;
-    for (const to of pickSome(entries, TOLD_ENTRIES, random)) {
-      if (to === from || random() < (play.lossShare ?? 0)) continue;
-      const delay = LONGEST_RELAY_MILLISECONDS * random();
-      later(delay, () => to.onTold(statements));
+    for (const to of pickSome(entries, GOSSIP_FANOUT, random)) {
+      if (to === from || random() < (scenario.lossShare ?? 0)) continue;
+      const delay = MAXIMUM_GOSSIP_DELAY_MILLISECONDS * random();
+      schedule(delay, () => to.onPeerStatements(statements));
     }
   }
 
   function send(entry: ServerRateLimits): void {
-    entry.noteSent(SERVER);
+    entry.recordSent(SERVER);
     const sentAt = now;
     if (limitNow() !== undefined && entry.limitOf(SERVER) !== undefined) arrivals.push(now);
-    later(LONGEST_ANSWER_MILLISECONDS * random(), () => {
-      const head = headStating(limitNow());
+    schedule(MAXIMUM_ANSWER_MILLISECONDS * random(), () => {
+      const head = headWithLimit(limitNow());
       entry.onAnswer({ instanceId: SERVER, head, sentAt });
     });
   }
@@ -140,25 +145,27 @@
     for (const { run } of due) run();
   }
 
-  const demandPerStep = (demand * STEP_MILLISECONDS) / 1000 / demanding.size;
+  const demandPerStep = (demand * STEP_MILLISECONDS) / 1000 / sendingNames.size;
 
   function step(): void {
     deliver();
     for (const [index, entry] of entries.entries()) {
-      if ((now + index * STEP_MILLISECONDS) % DIGEST_MILLISECONDS < STEP_MILLISECONDS) tell(entry);
-      const isPaused = now > PAUSED_FROM && now < pausedUntil;
-      if (!demanding.has(names[index] ?? '') || isPaused || random() >= demandPerStep) continue;
-      if (entry.roomIn(SERVER, senders) === 0) send(entry);
+      if ((now + index * STEP_MILLISECONDS) % GOSSIP_INTERVAL_MILLISECONDS < STEP_MILLISECONDS)
+        gossip(entry);
+      const isPaused = now > PAUSED_FROM_MILLISECONDS && now < pausedUntil;
+      if (!sendingNames.has(names[index] ?? '') || isPaused || random() >= demandPerStep) continue;
+      if (entry.roomInMilliseconds(SERVER, senders) === 0) send(entry);
     }
     if (now < liftedAt || liftKnownAfter !== Infinity) return;
     const aware = entries.filter((entry) => entry.limitOf(SERVER) === undefined);
     if (aware.length >= entries.length / 2) liftKnownAfter = now - liftedAt;
   }
 
-  for (; now < PLAY_MILLISECONDS; now += STEP_MILLISECONDS) step();
+  for (; now < SIMULATED_MILLISECONDS; now += STEP_MILLISECONDS) step();
 
-  const allowed = (OVERSHOOT * requestsPerSecond * WINDOW_MILLISECONDS) / 1000 + SLACK_REQUESTS;
-  const measuredFrom = Math.min(liftedAt, PLAY_MILLISECONDS) - MEASURED_MILLISECONDS;
+  const allowed =
+    (TOLERATED_FACTOR * requestsPerSecond * WINDOW_MILLISECONDS) / 1000 + TOLERATED_REQUESTS;
+  const measuredFrom = Math.min(liftedAt, SIMULATED_MILLISECONDS) - MEASURED_MILLISECONDS;
   const measured = arrivals.filter((at) => at >= measuredFrom).length;
   return {
     excess: worstExcess(arrivals, allowed),
--- a/packages/forwarding/src/stream-attempt.ts
+++ b/packages/forwarding/src/stream-attempt.ts
@@ -12,7 +12,7 @@
 import type { Exchange, ExchangeEnd } from './exchange.js';
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
 import { openForward } from './open-forward.js';
-import { judgeRefusal, Verdict } from './server-ledger.js';
+import { verdictOfRefusal, Verdict } from './server-load-tracker.js';
 
 export enum StreamEndKind {
   /** The server's stream came to its proper end. */
@@ -92,7 +92,7 @@
   function takeEvent(streamHead: AnswerHead, event: StreamEvent): void {
     if (doubt !== undefined) return;
     pulse.beat(accepted.service, server.instanceId);
-    liveness.heard(server.instanceId);
+    liveness.recordContact(server.instanceId);
     switch (checkSequence(sink.lastEventId(), event.id)) {
       case Sequence.Known:
         return;
@@ -106,7 +106,7 @@
     }
     if (!wasAnswered) {
       wasAnswered = true;
-      ledger.answered(server.instanceId, context.now() - startedAt, promptTokens);
+      ledger.recordAnswer(server.instanceId, context.now() - startedAt, promptTokens);
     }
     if (!sink.onEvent(streamHead, event)) {
       exchange?.pause();
@@ -164,18 +164,18 @@
     if (exchangeEnd.kind !== ExchangeEndKind.Cancelled || doubt !== undefined)
       return Verdict.Failing;
     if (liveness.isSilent(server)) return Verdict.Failing;
-    return wasAnswered ? Verdict.Sound : Verdict.Open;
+    return wasAnswered ? Verdict.Healthy : Verdict.Inconclusive;
   }
 
   function verdictOf(end: StreamEnd, exchangeEnd: ExchangeEnd): Verdict {
     switch (end.kind) {
       case StreamEndKind.Complete:
-        return Verdict.Sound;
+        return Verdict.Healthy;
       case StreamEndKind.Answered:
-        return end.head.status < 500 ? Verdict.Sound : Verdict.Failing;
+        return end.head.status < 500 ? Verdict.Healthy : Verdict.Failing;
       case StreamEndKind.NotRun:
-        if (end.isGroupBroken) return Verdict.Open;
-        return end.wasRefused ? judgeRefusal(ledger.hasRoom(server)) : Verdict.Failing;
+        if (end.isGroupBroken) return Verdict.Inconclusive;
+        return end.wasRefused ? verdictOfRefusal(ledger.hasFreeSlot(server)) : Verdict.Failing;
       case StreamEndKind.Broken:
         return verdictOfBroken(exchangeEnd);
       default: {
@@ -185,17 +185,17 @@
     }
   }
 
-  ledger.sent(server.instanceId, promptTokens);
-  context.coldShare.noteSent(server.instanceId);
-  context.statements.noteSent(server.instanceId);
+  ledger.recordSent(server.instanceId, promptTokens);
+  context.coldShare.recordSent(server.instanceId);
+  context.statements.recordSent(server.instanceId);
   const end = new Promise<StreamEnd>((resolve) => {
     exchange = openForward(
       { context, accepted, server, lastEventId: sink.lastEventId(), isMoved },
       {
         onHead(incoming) {
-          liveness.heard(server.instanceId);
+          liveness.recordContact(server.instanceId);
           head = protocol.decodeAnswer(incoming);
-          if (head.load !== undefined) ledger.reported(server.instanceId, head.load);
+          if (head.load !== undefined) ledger.recordReport(server.instanceId, head.load);
           context.statements.onAnswer({ server, head, requestId, sentAt: startedAt });
           if (provesNotRun(head)) return;
           const doubted = doubtHead(head, requestId);
@@ -207,7 +207,7 @@
           const isCancelled = exchangeEnd.kind === ExchangeEndKind.Cancelled;
           if (isCancelled && head === undefined) context.metrics.countUnansweredSend();
           const verdict = verdictOf(judged, exchangeEnd);
-          ledger.ended(server.instanceId, verdict, promptTokens, wasAnswered);
+          ledger.recordEnd(server.instanceId, verdict, promptTokens, wasAnswered);
           resolve(judged);
         },
       },
