--- a/packages/direct-entry/src/start-entry.ts
+++ b/packages/direct-entry/src/start-entry.ts
@@ -9,7 +9,7 @@
   createCallerListener,
   createColdStartShare,
   createGroupHealth,
-  createPulse,
+  createEventActivity,
   createRetryBudgetShare,
   createServerBackoffs,
   createServerDepartures,
@@ -68,7 +68,7 @@
   const groupHealth = createGroupHealth(monotonicClock, logger);
   const metrics = createMetrics();
   let isStopping = false;
-  const pulse = createPulse(monotonicClock);
+  const pulse = createEventActivity(monotonicClock);
 
   function entriesOf(known: number): number {
     return planEntries({
--- a/packages/direct-entry/src/start-fleet.ts
+++ b/packages/direct-entry/src/start-fleet.ts
@@ -85,7 +85,7 @@
 
   function takeLoads(loads: readonly RankLoad[]): void {
     for (const load of loads) {
-      groupHealth.reported(load, load.ageMilliseconds);
+      groupHealth.recordReport(load, load.ageMilliseconds);
       for (const serverId of serversByRank.get(rankKey(load)) ?? []) {
         ledger.recordReport(serverId, load, load.ageMilliseconds);
         liveness.recordContact(serverId, load.ageMilliseconds);
--- a/packages/forwarding/src/arrival-meter.ts
+++ b/packages/forwarding/src/arrival-meter.ts
@@ -3,34 +3,34 @@
  * the entries by a hash, so the own rate tells roughly what the others take.
  */
 export interface ArrivalMeter {
-  note(service: string): void;
-  perSecond(service: string): number;
+  recordArrival(service: string): void;
+  arrivalsPerSecond(service: string): number;
 }
 
 /** Age at which a request counts for about a third: a few seconds of a calm service. */
-const WINDOW_MILLISECONDS = 2000;
+const DECAY_MILLISECONDS = 2000;
 
-interface Rate {
+interface DecayedCount {
   /** Decayed number of requests. */
   count: number;
   at: number;
 }
 
 export function createArrivalMeter(now: () => number): ArrivalMeter {
-  const rates = new Map<string, Rate>();
+  const rates = new Map<string, DecayedCount>();
 
-  function countNow({ count, at }: Rate): number {
-    return count * Math.exp((at - now()) / WINDOW_MILLISECONDS);
+  function decayedCount({ count, at }: DecayedCount): number {
+    return count * Math.exp((at - now()) / DECAY_MILLISECONDS);
   }
 
   return {
-    note(service) {
+    recordArrival(service) {
       const rate = rates.get(service);
-      rates.set(service, { count: (rate === undefined ? 0 : countNow(rate)) + 1, at: now() });
+      rates.set(service, { count: (rate === undefined ? 0 : decayedCount(rate)) + 1, at: now() });
     },
-    perSecond(service) {
+    arrivalsPerSecond(service) {
       const rate = rates.get(service);
-      return rate === undefined ? 0 : (countNow(rate) * 1000) / WINDOW_MILLISECONDS;
+      return rate === undefined ? 0 : (decayedCount(rate) * 1000) / DECAY_MILLISECONDS;
     },
   };
 }
--- a/packages/forwarding/src/caller-listener.ts
+++ b/packages/forwarding/src/caller-listener.ts
@@ -15,7 +15,7 @@
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
 import { EndKind, noteOutcome } from './note-outcome.js';
 import { planRetryAfter, RefusalCause } from './plan-retry-after.js';
-import { createReturnWatch } from './return-watch.js';
+import { createRetryDetector } from './retry-detector.js';
 import { servePlain } from './serve-plain.js';
 import { serveStream } from './serve-stream.js';
 
@@ -81,7 +81,7 @@
 
 export function createCallerListener(options: CallerListenerOptions): CallerListener {
   const { context } = options;
-  const returnWatch = createReturnWatch();
+  const returnWatch = createRetryDetector();
   let stopping = false;
   let active = 0;
 
@@ -162,7 +162,7 @@
           priority: admission.account?.priority ?? admission.route.priority,
         };
         context.retryShare.recordRequest(admission.service);
-        context.arrivals.note(admission.service);
+        context.arrivals.recordArrival(admission.service);
         if (admission.route.kind === RequestKind.Streaming) await serveStream(context, accepted);
         else await servePlain(context, accepted);
         if (answer.hasLeft) noteLeft(accepted);
--- a/packages/forwarding/src/choose-server.ts
+++ b/packages/forwarding/src/choose-server.ts
@@ -39,7 +39,7 @@
         {
           roomInMilliseconds: Math.max(coldRoom, admission.roomInMilliseconds),
           backoffMilliseconds: admission.backoffMilliseconds,
-          brokenForMilliseconds: context.groupHealth.brokenFor(server),
+          brokenForMilliseconds: context.groupHealth.brokenForMilliseconds(server),
           isSilent: context.liveness.isSilent(server),
         },
         context.entries(),
@@ -63,7 +63,7 @@
     reports += 1;
   }
   if (reports === 0) return 0;
-  const others = context.arrivals.perSecond(service) * (context.entries() - 1);
+  const others = context.arrivals.arrivalsPerSecond(service) * (context.entries() - 1);
   return (others * (age / reports)) / 1000;
 }
 
--- a/packages/forwarding/src/forward-context.ts
+++ b/packages/forwarding/src/forward-context.ts
@@ -11,7 +11,7 @@
 import type { ColdStartShare } from './cold-start-share.js';
 import type { GroupHealth } from './group-health.js';
 import type { Outcome } from './outcome.js';
-import type { Pulse } from './pulse.js';
+import type { EventActivity } from './event-activity.js';
 import type { RetryBudgetShare } from './retry-budget-share.js';
 import type { ServerLoadTracker } from './server-load-tracker.js';
 import type { ServerLiveness } from './server-liveness.js';
@@ -25,7 +25,7 @@
   readonly retryShare: RetryBudgetShare;
   readonly coldShare: ColdStartShare;
   readonly statements: ServerStatements;
-  readonly pulse: Pulse;
+  readonly pulse: EventActivity;
   readonly groupHealth: GroupHealth;
   readonly logger: Logger;
   readonly metrics: Metrics;
--- a/packages/forwarding/src/forwarding-fixture.ts
+++ b/packages/forwarding/src/forwarding-fixture.ts
@@ -18,7 +18,7 @@
 import { createGroupHealth } from './group-health.js';
 import type { GroupHealth } from './group-health.js';
 import { createArrivalMeter } from './arrival-meter.js';
-import { createPulse } from './pulse.js';
+import { createEventActivity } from './event-activity.js';
 import { createRetryBudgetShare } from './retry-budget-share.js';
 import type { SendingEntries } from './sender-rank.js';
 import { createServerBackoffs } from './server-backoffs.js';
@@ -203,7 +203,7 @@
     }),
     arrivals: createArrivalMeter(now),
     entries: () => 1,
-    pulse: { ...createPulse(now), isStuck: () => isStuck.value },
+    pulse: { ...createEventActivity(now), isStalled: () => isStuck.value },
     logger,
     metrics: createMetrics(),
     ownZone: 'zone',
--- a/packages/forwarding/src/group-health.test.ts
+++ b/packages/forwarding/src/group-health.test.ts
@@ -28,12 +28,12 @@
     // Guards against streams that are sent to a group that stands still, on the word of a relay.
     const { clock, health } = start();
     const rank = { group: 'group', rank: 0, epoch: 1, isOpen: true };
-    health.reported(rank);
+    health.recordReport(rank);
     clock.now += 100;
-    health.refused(server(0, true));
+    health.recordRefusal(server(0, true));
     clock.now += 20;
-    health.reported(rank, 900);
-    expect(health.brokenFor(server(0, true))).toBe(20);
+    health.recordReport(rank, 900);
+    expect(health.brokenForMilliseconds(server(0, true))).toBe(20);
   });
 
   it('is broken for all its ranks as soon as one says so', () => {
@@ -41,56 +41,56 @@
     // not noticed yet would hang until their engines give up.
     const { health } = start();
     for (const rank of [0, 1, 2]) {
-      health.reported({ group: 'group', rank, epoch: 1, isOpen: rank !== 1 });
+      health.recordReport({ group: 'group', rank, epoch: 1, isOpen: rank !== 1 });
     }
-    expect(health.brokenFor(server(0, true))).toBeDefined();
+    expect(health.brokenForMilliseconds(server(0, true))).toBeDefined();
   });
 
   it('is open again with the first word of a newer epoch', () => {
     // The group has formed anew; the last words of other ranks are still those of the old one.
     const { health } = start();
-    health.reported({ group: 'group', rank: 0, epoch: 1, isOpen: false });
-    health.reported({ group: 'group', rank: 1, epoch: 2, isOpen: true });
-    expect(health.brokenFor(server(0, false))).toBeUndefined();
+    health.recordReport({ group: 'group', rank: 0, epoch: 1, isOpen: false });
+    health.recordReport({ group: 'group', rank: 1, epoch: 2, isOpen: true });
+    expect(health.brokenForMilliseconds(server(0, false))).toBeUndefined();
   });
 
   it('is judged by the list once no sidecar is heard', () => {
     // All sidecars were cut off while they said "broken". Believing that for ever would keep a
     // service closed that has long been whole again.
     const { health, clock } = start();
-    health.reported({ group: 'group', rank: 0, epoch: 1, isOpen: false });
+    health.recordReport({ group: 'group', rank: 0, epoch: 1, isOpen: false });
     clock.now = 2000;
-    expect(health.brokenFor(server(0, true, 2))).toBeUndefined();
-    expect(health.brokenFor(server(0, false, 2))).toBeDefined();
+    expect(health.brokenForMilliseconds(server(0, true, 2))).toBeUndefined();
+    expect(health.brokenForMilliseconds(server(0, false, 2))).toBeDefined();
   });
 
   it('is broken after a refusal that names the cause, until its ranks say otherwise', () => {
     const { health } = start();
-    health.reported({ group: 'group', rank: 0, epoch: 3, isOpen: true });
-    health.refused(server(0, true, 2));
-    expect(health.brokenFor(server(1, true))).toBeDefined();
-    health.reported({ group: 'group', rank: 0, epoch: 3, isOpen: true });
-    expect(health.brokenFor(server(1, true))).toBeUndefined();
+    health.recordReport({ group: 'group', rank: 0, epoch: 3, isOpen: true });
+    health.recordRefusal(server(0, true, 2));
+    expect(health.brokenForMilliseconds(server(1, true))).toBeDefined();
+    health.recordReport({ group: 'group', rank: 0, epoch: 3, isOpen: true });
+    expect(health.brokenForMilliseconds(server(1, true))).toBeUndefined();
   });
 
   it('has stood still for an unknown time when it is found broken', () => {
     // An entry restarts in the middle of an outage. Taking that for its beginning, it would send
     // callers away who can be served in a moment.
     const { health, clock } = start();
-    health.reported({ group: 'group', rank: 0, epoch: 1, isOpen: false });
-    expect(health.brokenFor(server(0, false))).toBe(Infinity);
-    health.reported({ group: 'group', rank: 0, epoch: 2, isOpen: true });
+    health.recordReport({ group: 'group', rank: 0, epoch: 1, isOpen: false });
+    expect(health.brokenForMilliseconds(server(0, false))).toBe(Infinity);
+    health.recordReport({ group: 'group', rank: 0, epoch: 2, isOpen: true });
     clock.now = 100;
-    health.reported({ group: 'group', rank: 0, epoch: 2, isOpen: false });
+    health.recordReport({ group: 'group', rank: 0, epoch: 2, isOpen: false });
     clock.now = 300;
-    expect(health.brokenFor(server(0, false))).toBe(200);
+    expect(health.brokenForMilliseconds(server(0, false))).toBe(200);
   });
 
   it('wakes those who wait for it', async () => {
     const { health } = start();
-    health.reported({ group: 'group', rank: 0, epoch: 1, isOpen: false });
+    health.recordReport({ group: 'group', rank: 0, epoch: 1, isOpen: false });
     const opened = health.nextChange();
-    health.reported({ group: 'group', rank: 0, epoch: 2, isOpen: true });
+    health.recordReport({ group: 'group', rank: 0, epoch: 2, isOpen: true });
     await expect(opened).resolves.toBeUndefined();
   });
 });
--- a/packages/forwarding/src/group-health.ts
+++ b/packages/forwarding/src/group-health.ts
@@ -20,44 +20,44 @@
 
 export interface GroupHealth {
   /** A rank's sidecar told this so many milliseconds ago. */
-  reported(health: RankHealth, ageMilliseconds?: number): void;
+  recordReport(health: RankHealth, ageMilliseconds?: number): void;
   /** A backend server refused a request because its group cannot run work. */
-  refused(server: BackendServer): void;
+  recordRefusal(server: BackendServer): void;
   /** For how long the server's group has stood still, in milliseconds; undefined while it runs. */
-  brokenFor(server: BackendServer): number | undefined;
+  brokenForMilliseconds(server: BackendServer): number | undefined;
   /** Chance that a group that has stood still for so long runs again within the time. */
   chanceOfReturn(brokenForMilliseconds: number, withinMilliseconds: number): number;
   /** Milliseconds within which such a group is likely to run again. */
-  likelyReturn(brokenForMilliseconds: number): number;
+  likelyReturnMilliseconds(brokenForMilliseconds: number): number;
   /** Resolves when a group changes between open and broken. */
   nextChange(): Promise<void>;
 }
 
-interface HeardRank {
+interface RankState {
   readonly epoch: number;
   readonly isOpen: boolean;
-  readonly at: number;
+  readonly reportedAt: number;
 }
 
 interface Group {
-  readonly ranks: Map<number, HeardRank>;
+  readonly ranks: Map<number, RankState>;
   /** Undefined until a rank was heard. */
   isBroken: boolean | undefined;
   changedAt: number;
 }
 
 /** Word of a rank that was not repeated for this long decides nothing: nine beats of a sidecar. */
-const FRESH_MILLISECONDS = 1500;
+const MAXIMUM_REPORT_AGE_MILLISECONDS = 1500;
 
 export function createGroupHealth(now: () => number, logger: Logger): GroupHealth {
   const groups = new Map<string, Group>();
   const forecast = createOutageForecast();
-  let wake: () => void = () => undefined;
-  let change = nextPromise();
+  let resolveChange: () => void = () => undefined;
+  let pendingChange = nextPromise();
 
   function nextPromise(): Promise<void> {
     return new Promise((resolve) => {
-      wake = resolve;
+      resolveChange = resolve;
     });
   }
 
@@ -71,59 +71,68 @@
   }
 
   /** Undefined when no rank was heard lately. The newest epoch decides; one broken rank is enough. */
-  function judge({ ranks }: Group): boolean | undefined {
-    const from = now() - FRESH_MILLISECONDS;
-    let newest = -1;
+  function findIsBroken({ ranks }: Group): boolean | undefined {
+    const from = now() - MAXIMUM_REPORT_AGE_MILLISECONDS;
+    let newestEpoch = -1;
     let isBroken: boolean | undefined;
-    for (const { epoch, isOpen, at } of ranks.values()) {
-      if (at < from || epoch < newest) continue;
-      if (epoch > newest) isBroken = false;
-      newest = epoch;
+    for (const { epoch, isOpen, reportedAt } of ranks.values()) {
+      if (reportedAt < from || epoch < newestEpoch) continue;
+      if (epoch > newestEpoch) isBroken = false;
+      newestEpoch = epoch;
       if (!isOpen) isBroken = true;
     }
     return isBroken;
   }
 
-  function note(name: string, group: Group, cause: string): void {
-    const isBroken = judge(group);
+  function updateGroup(name: string, group: Group, cause: string): void {
+    const isBroken = findIsBroken(group);
     if (isBroken === undefined || isBroken === group.isBroken) return;
-    const brokenFor = now() - group.changedAt;
-    if (!isBroken && Number.isFinite(brokenFor)) forecast.note(brokenFor);
+    const brokenForMilliseconds = now() - group.changedAt;
+    if (!isBroken && Number.isFinite(brokenForMilliseconds))
+      forecast.recordOutage(brokenForMilliseconds);
     // A group that was found broken may have stood still for long.
     group.changedAt = group.isBroken === undefined ? -Infinity : now();
     group.isBroken = isBroken;
     logger.info(isBroken ? 'group lost' : 'group regained', { group: name, cause });
-    wake();
-    change = nextPromise();
+    resolveChange();
+    pendingChange = nextPromise();
   }
 
-  function hear(health: RankHealth, cause: string, at: number): void {
+  function applyRankState(health: RankHealth, cause: string, reportedAt: number): void {
     const group = groupOf(health.group);
     const known = group.ranks.get(health.rank);
-    if (known !== undefined && known.epoch >= health.epoch && known.at > at) return;
-    group.ranks.set(health.rank, { epoch: health.epoch, isOpen: health.isOpen, at });
-    note(health.group, group, cause);
+    if (known !== undefined && known.epoch >= health.epoch && known.reportedAt > reportedAt) return;
+    group.ranks.set(health.rank, { epoch: health.epoch, isOpen: health.isOpen, reportedAt });
+    updateGroup(health.group, group, cause);
   }
 
   return {
-    reported: (health, ageMilliseconds = 0) =>
-      hear(health, `rank ${health.rank} in epoch ${health.epoch}`, now() - ageMilliseconds),
-    refused(server) {
+    recordReport: (health, ageMilliseconds = 0) =>
+      applyRankState(
+        health,
+        `rank ${health.rank} in epoch ${health.epoch}`,
+        now() - ageMilliseconds,
+      ),
+    recordRefusal(server) {
       const { groupRank } = server;
       if (groupRank === undefined) return;
       const known = groups.get(groupRank.group)?.ranks.get(groupRank.rank);
       const epoch = Math.max(groupRank.epoch, known?.epoch ?? 0);
-      hear({ ...groupRank, epoch, isOpen: false }, `refused by ${server.instanceId}`, now());
+      applyRankState(
+        { ...groupRank, epoch, isOpen: false },
+        `refused by ${server.instanceId}`,
+        now(),
+      );
     },
-    brokenFor({ groupRank }) {
+    brokenForMilliseconds({ groupRank }) {
       if (groupRank === undefined) return undefined;
       const group = groups.get(groupRank.group);
-      const isBroken = (group === undefined ? undefined : judge(group)) ?? !groupRank.open;
+      const isBroken = (group === undefined ? undefined : findIsBroken(group)) ?? !groupRank.open;
       if (!isBroken) return undefined;
       return group?.isBroken === true ? now() - group.changedAt : Infinity;
     },
-    chanceOfReturn: forecast.chanceWithin,
-    likelyReturn: forecast.likelyWithin,
-    nextChange: () => change,
+    chanceOfReturn: forecast.chanceOfEnd,
+    likelyReturnMilliseconds: forecast.likelyEndMilliseconds,
+    nextChange: () => pendingChange,
   };
 }
--- a/packages/forwarding/src/group-wait.test.ts
+++ b/packages/forwarding/src/group-wait.test.ts
@@ -49,7 +49,7 @@
 }
 
 function tell(rank: number, epoch: number, isOpen: boolean): void {
-  fixture.groupHealth.reported({ group: 'group', rank, epoch, isOpen });
+  fixture.groupHealth.recordReport({ group: 'group', rank, epoch, isOpen });
 }
 
 /** Refuses as an engine does whose group stands still on account of another rank. */
--- a/packages/forwarding/src/index.ts
+++ b/packages/forwarding/src/index.ts
@@ -21,7 +21,7 @@
 export type { ForwardContext } from './forward-context.js';
 export { createGroupHealth } from './group-health.js';
 export type { GroupHealth, RankHealth } from './group-health.js';
-export { createPulse } from './pulse.js';
+export { createEventActivity } from './event-activity.js';
 export { createRetryBudgetShare } from './retry-budget-share.js';
 export type { RetryBudgetLimits, RetryBudgetShare } from './retry-budget-share.js';
 export type { SendingEntries } from './sender-rank.js';
--- a/packages/forwarding/src/outage-forecast.ts
+++ b/packages/forwarding/src/outage-forecast.ts
@@ -6,35 +6,35 @@
  */
 export interface OutageForecast {
   /** Notes that an outage of this length has ended. */
-  note(milliseconds: number): void;
+  recordOutage(milliseconds: number): void;
   /**
    * Chance, 0 to 1, that an outage that has lasted for `ageMilliseconds` ends within the time. An
    * infinite age is one that is not known.
    */
-  chanceWithin(ageMilliseconds: number, withinMilliseconds: number): number;
+  chanceOfEnd(ageMilliseconds: number, withinMilliseconds: number): number;
   /** Milliseconds within which an outage of this age ends in most cases. */
-  likelyWithin(ageMilliseconds: number): number;
+  likelyEndMilliseconds(ageMilliseconds: number): number;
 }
 
 /** The assumption counts as much as so many outages that were seen. */
-const ASSUMED_OUTAGES = 3;
+const PRIOR_OUTAGES = 3;
 /** Assumed length of the shortest, and how much longer they last on average. */
-const SHORTEST_MILLISECONDS = 2000;
-const LONGER_MILLISECONDS = 3000;
+const PRIOR_MINIMUM_MILLISECONDS = 2000;
+const PRIOR_MEAN_EXCESS_MILLISECONDS = 3000;
 /** Outages remembered: the conditions of a deployment change within hours. */
-const MAXIMUM_REMEMBERED = 16;
+const MAXIMUM_RECORDED = 16;
 /** Chance for an outage of unknown age. */
 const UNKNOWN_AGE_CHANCE = 0.5;
 /** What is likely: in seven of ten cases. */
 const LIKELY_CHANCE = 0.7;
 /** Fineness and end of the search for a likely time. */
 const STEP_MILLISECONDS = 100;
-const LONGEST_MILLISECONDS = 30_000;
+const MAXIMUM_LIKELY_MILLISECONDS = 30_000;
 
 /** Assumed share of outages that last longer than the time. */
-function assumedBeyond(milliseconds: number): number {
-  const longer = Math.max(0, milliseconds - SHORTEST_MILLISECONDS);
-  return Math.exp(-longer / LONGER_MILLISECONDS);
+function priorShareBeyond(milliseconds: number): number {
+  const longer = Math.max(0, milliseconds - PRIOR_MINIMUM_MILLISECONDS);
+  return Math.exp(-longer / PRIOR_MEAN_EXCESS_MILLISECONDS);
 }
 
 export function createOutageForecast(): OutageForecast {
@@ -42,14 +42,14 @@
 
   /** Weight of all outages that last longer than the time. */
   function weightBeyond(milliseconds: number): number {
-    let weight = ASSUMED_OUTAGES * assumedBeyond(milliseconds);
+    let weight = PRIOR_OUTAGES * priorShareBeyond(milliseconds);
     for (const length of seen) {
       if (length > milliseconds) weight += 1;
     }
     return weight;
   }
 
-  function chanceWithin(ageMilliseconds: number, withinMilliseconds: number): number {
+  function chanceOfEnd(ageMilliseconds: number, withinMilliseconds: number): number {
     if (!Number.isFinite(ageMilliseconds)) return UNKNOWN_AGE_CHANCE;
     const now = weightBeyond(ageMilliseconds);
     // After minutes hardly any outage is expected to last longer still; the chance stays a chance.
@@ -58,15 +58,15 @@
   }
 
   return {
-    note(milliseconds) {
+    recordOutage(milliseconds) {
       seen.push(milliseconds);
-      if (seen.length > MAXIMUM_REMEMBERED) seen.shift();
+      if (seen.length > MAXIMUM_RECORDED) seen.shift();
     },
-    chanceWithin,
-    likelyWithin(ageMilliseconds) {
+    chanceOfEnd,
+    likelyEndMilliseconds(ageMilliseconds) {
       const age = Number.isFinite(ageMilliseconds) ? ageMilliseconds : 0;
       let within = STEP_MILLISECONDS;
-      while (within < LONGEST_MILLISECONDS && chanceWithin(age, within) < LIKELY_CHANCE) {
+      while (within < MAXIMUM_LIKELY_MILLISECONDS && chanceOfEnd(age, within) < LIKELY_CHANCE) {
         within += STEP_MILLISECONDS;
       }
       return within;
--- a/packages/forwarding/src/plan-priority.ts
+++ b/packages/forwarding/src/plan-priority.ts
@@ -18,7 +18,7 @@
   Late = 'late',
 }
 
-export interface Waiting {
+export interface WaitingStream {
   readonly route: Route;
   /** Whether the caller has had events. */
   readonly hasBegun: boolean;
@@ -31,28 +31,28 @@
 }
 
 /** An answer takes about this share of the time that callers hope for. */
-const ANSWER_SHARE = 0.5;
+const ANSWER_TIME_SHARE = 0.5;
 /** 0 is served first. */
-const LAST_PRIORITY = 9;
+const LOWEST_PRIORITY = 9;
 
-export function urgencyOf(waiting: Waiting): Urgency {
+export function urgencyOf(waiting: WaitingStream): Urgency {
   if (waiting.hasBegun) return Urgency.Begun;
   if (waiting.isMoved) return Urgency.Moved;
-  const latest = waiting.route.objectiveMilliseconds * (1 - ANSWER_SHARE);
+  const latest = waiting.route.objectiveMilliseconds * (1 - ANSWER_TIME_SHARE);
   const isFresh = !waiting.isRetry && waiting.idleMilliseconds <= latest;
   return isFresh ? Urgency.Fresh : Urgency.Late;
 }
 
 /** `usual` is the priority of the route or of the client account. */
-export function planPriority(usual: number, urgency: Urgency): number {
+export function planPriority(basePriority: number, urgency: Urgency): number {
   switch (urgency) {
     case Urgency.Begun:
     case Urgency.Moved:
-      return Math.max(0, usual - 1);
+      return Math.max(0, basePriority - 1);
     case Urgency.Fresh:
-      return usual;
+      return basePriority;
     case Urgency.Late:
-      return Math.min(LAST_PRIORITY, usual + 1);
+      return Math.min(LOWEST_PRIORITY, basePriority + 1);
     default: {
       const unreachable: never = urgency;
       return unreachable;
--- a/packages/forwarding/src/plan-offer.test.ts
+++ b/packages/forwarding/src/plan-queue-admission.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 
-import { canOffer, planCrowdWait } from './plan-offer.js';
+import { canAdmitStream, planRecheckDelay } from './plan-queue-admission.js';
 import { STREAM_ROUTE } from './stream-route-fixture.js';
 
 const SLOTS = 8;
@@ -19,38 +19,38 @@
   };
 
   it('that has begun is continued wherever there is a queue', () => {
-    expect(canOffer({ ...input, hasBegun: true, expectedStreams: 30 })).toBe(true);
+    expect(canAdmitStream({ ...input, hasBegun: true, expectedStreams: 30 })).toBe(true);
   });
 
   it('that was taken from a silent server is served first elsewhere, so it may wait there', () => {
     // Guards against streams that wait their turn again at every server.
-    expect(canOffer({ ...input, isMoved: true, idleMilliseconds: 1000 })).toBe(true);
-    expect(canOffer({ ...input, isMoved: true, expectedStreams: 14 })).toBe(false);
+    expect(canAdmitStream({ ...input, isMoved: true, idleMilliseconds: 1000 })).toBe(true);
+    expect(canAdmitStream({ ...input, isMoved: true, expectedStreams: 14 })).toBe(false);
   });
 
   it('that was taken from a silent server goes nowhere where its caller would leave', () => {
     // Guards against streams that are moved only to be left a moment later.
     const moved = { ...input, isMoved: true, expectedStreams: 0 };
-    expect(canOffer({ ...moved, idleMilliseconds: 1600 })).toBe(false);
-    expect(canOffer({ ...moved, typicalMilliseconds: 1100 })).toBe(false);
-    expect(canOffer({ ...moved, typicalMilliseconds: 0 })).toBe(true);
+    expect(canAdmitStream({ ...moved, idleMilliseconds: 1600 })).toBe(false);
+    expect(canAdmitStream({ ...moved, typicalMilliseconds: 1100 })).toBe(false);
+    expect(canAdmitStream({ ...moved, typicalMilliseconds: 0 })).toBe(true);
   });
 
   it('may wait longer when its caller has come back, as long as that caller stays', () => {
-    expect(canOffer(input)).toBe(false);
-    expect(canOffer({ ...input, isRetry: true })).toBe(true);
-    expect(canOffer({ ...input, isRetry: true, idleMilliseconds: 1500 })).toBe(false);
+    expect(canAdmitStream(input)).toBe(false);
+    expect(canAdmitStream({ ...input, isRetry: true })).toBe(true);
+    expect(canAdmitStream({ ...input, isRetry: true, idleMilliseconds: 1500 })).toBe(false);
   });
 
   it('is offered where reports are missing or old', () => {
     // Sidecars are slow or their datagrams get lost; the servers behind them stand empty.
-    expect(canOffer({ ...input, reportAge: undefined })).toBe(true);
-    expect(canOffer({ ...input, reportAge: 1200 })).toBe(true);
+    expect(canAdmitStream({ ...input, reportAge: undefined })).toBe(true);
+    expect(canAdmitStream({ ...input, reportAge: 1200 })).toBe(true);
   });
 
   it('is looked at again with the next reports, and given up before its caller leaves', () => {
     const wait = (isRetry: boolean, idleMilliseconds: number): number =>
-      planCrowdWait({
+      planRecheckDelay({
         route: STREAM_ROUTE,
         isRetry,
         idleMilliseconds,
--- a/packages/forwarding/src/plan-rate-limit-delay.test.ts
+++ b/packages/forwarding/src/plan-rate-limit-delay.test.ts
@@ -78,8 +78,8 @@
     ['a fleet in which half of the entries have no requests', { ...SMALL, idleShare: 0.5 }],
   ])('use a third of it at least: %s', (_what, fields) => {
     for (let seed = 1; seed <= 5; seed += 1) {
-      const { used } = simulateRateLimit({ seed, requestsPerSecond: 1, ...fields });
-      expect(used).toBeGreaterThan(1 / 3);
+      const { usedPerSecond } = simulateRateLimit({ seed, requestsPerSecond: 1, ...fields });
+      expect(usedPerSecond).toBeGreaterThan(1 / 3);
     }
   });
 
@@ -92,7 +92,7 @@
     for (let seed = 1; seed <= 5; seed += 1) {
       const liftedAt = LIMITED_FROM_MILLISECONDS + 10_000 + Math.floor(10_000 * random());
       const scenario = { seed, requestsPerSecond: 0.5, liftedAt, ...fields };
-      expect(simulateRateLimit(scenario).liftKnownAfter).toBeLessThan(15_000);
+      expect(simulateRateLimit(scenario).liftKnownAfterMilliseconds).toBeLessThan(15_000);
     }
   });
 });
--- a/packages/forwarding/src/plan-retry-after.ts
+++ b/packages/forwarding/src/plan-retry-after.ts
@@ -47,7 +47,7 @@
 }
 
 /** Time after which each cause has usually passed, in milliseconds. */
-const USUAL_MILLISECONDS: Readonly<Record<RefusalCause, number>> = {
+const TYPICAL_MILLISECONDS: Readonly<Record<RefusalCause, number>> = {
   // The first read of the store takes two round trips.
   [RefusalCause.NoConfiguration]: 400,
   // A replaced server is listed within a heartbeat.
@@ -65,9 +65,9 @@
 };
 
 /** Callers wait no longer than this share of the time they have left. */
-const LONGEST_SHARE = 1 / 3;
+const MAXIMUM_SHARE = 1 / 3;
 /** Share by which times differ at random, so that callers do not come back together. */
-const SPREAD = 0.35;
+const JITTER = 0.35;
 
 export interface RetryAfterInput {
   readonly cause: RefusalCause;
@@ -81,14 +81,14 @@
 /** Milliseconds. */
 export function planRetryAfter(input: RetryAfterInput): number {
   const { cause, remainingMilliseconds, random, likelyMilliseconds } = input;
-  const longest = remainingMilliseconds * LONGEST_SHARE;
-  const usual = likelyMilliseconds ?? USUAL_MILLISECONDS[cause];
+  const longest = remainingMilliseconds * MAXIMUM_SHARE;
+  const expectedMilliseconds = likelyMilliseconds ?? TYPICAL_MILLISECONDS[cause];
   // Whoever comes back while the group still stands, or within the backoff, comes in vain, so rather
   // later than sooner; other causes pass little by little.
-  const isLater = cause === RefusalCause.GroupBroken || cause === RefusalCause.BackingOff;
+  const isJitterAdded = cause === RefusalCause.GroupBroken || cause === RefusalCause.BackingOff;
   return Math.floor(
-    isLater
-      ? Math.min(usual * (1 + SPREAD * random), longest)
-      : Math.min(usual, longest) * (1 - SPREAD * random),
+    isJitterAdded
+      ? Math.min(expectedMilliseconds * (1 + JITTER * random), longest)
+      : Math.min(expectedMilliseconds, longest) * (1 - JITTER * random),
   );
 }
--- a/packages/forwarding/src/plan-wait.test.ts
+++ b/packages/forwarding/src/plan-wait.test.ts
@@ -1,15 +1,15 @@
 import { expect, it } from 'vitest';
 
-import { callerPatience, planRoomWait, planWait } from './plan-wait.js';
-import type { WaitInput } from './plan-wait.js';
+import { callerPatienceMilliseconds, planRoomWait, planGroupWait } from './plan-wait.js';
+import type { GroupWaitInput } from './plan-wait.js';
 import { STREAM_ROUTE } from './stream-route-fixture.js';
 
 function wait(
   idleMilliseconds: number,
   remainingMilliseconds = 8000,
-  fields: Partial<WaitInput> = {},
+  fields: Partial<GroupWaitInput> = {},
 ): number {
-  return planWait({
+  return planGroupWait({
     route: STREAM_ROUTE,
     idleMilliseconds,
     remainingMilliseconds,
@@ -37,7 +37,7 @@
   // A rank was cut off a moment ago, in a deployment where that lasts for many seconds. A caller
   // that is kept for most of two seconds and refused then has waited in vain; one that is told at
   // once can act, or comes back when it is worth it.
-  const chance = (chanceOfReturn: number, fields: Partial<WaitInput> = {}): number =>
+  const chance = (chanceOfReturn: number, fields: Partial<GroupWaitInput> = {}): number =>
     wait(0, 8000, { chanceOfReturn: () => chanceOfReturn, ...fields });
   const first = { isRetry: false };
   expect(chance(0.2)).toBe(0);
@@ -59,8 +59,8 @@
 });
 
 it('goes by the longest of the times for which callers stay', () => {
-  expect(callerPatience({ ...STREAM_ROUTE, objectiveMilliseconds: 900 })).toBe(3600);
-  expect(callerPatience({ ...STREAM_ROUTE, gapMilliseconds: 400 })).toBe(3200);
+  expect(callerPatienceMilliseconds({ ...STREAM_ROUTE, objectiveMilliseconds: 900 })).toBe(3600);
+  expect(callerPatienceMilliseconds({ ...STREAM_ROUTE, gapMilliseconds: 400 })).toBe(3200);
 });
 
 it('waits for room at a server that comes soon, and refuses where it comes late', () => {
--- a/packages/forwarding/src/plan-wait.ts
+++ b/packages/forwarding/src/plan-wait.ts
@@ -9,7 +9,7 @@
 import { planReplyMargin } from './reply-margin.js';
 
 /** Callers leave a stream after the longest of a time, some objectives and some pauses. */
-const PATIENCE_MILLISECONDS = 2000;
+const MINIMUM_PATIENCE_MILLISECONDS = 2000;
 const PATIENCE_OBJECTIVES = 4;
 const PATIENCE_GAPS = 8;
 /** From a send to the first event where many are sent at once, as when a group is back. */
@@ -21,13 +21,13 @@
  * Chance of being served from which callers are kept that have come back. They do not come again and
  * are lost when refused; but to wait for nothing, and to be told then, is worse than to be told at once.
  */
-const RETURNED_CHANCE = 1 / 3;
+const RETRY_MINIMUM_CHANCE = 1 / 3;
 /** The same for callers at their first try, who can come back at a time that is as good. */
-const FIRST_CHANCE = 1 / 2;
+const FIRST_ATTEMPT_MINIMUM_CHANCE = 1 / 2;
 
-export function callerPatience(route: Route): number {
+export function callerPatienceMilliseconds(route: Route): number {
   return Math.max(
-    PATIENCE_MILLISECONDS,
+    MINIMUM_PATIENCE_MILLISECONDS,
     PATIENCE_OBJECTIVES * route.objectiveMilliseconds,
     PATIENCE_GAPS * route.gapMilliseconds,
   );
@@ -38,7 +38,7 @@
  * leave next, and a request that lies at a server which has stopped then runs for nobody.
  */
 export function planEventTimeout(route: Route): number {
-  const patience = callerPatience(route);
+  const patience = callerPatienceMilliseconds(route);
   return patience - planReplyMargin(patience);
 }
 
@@ -46,7 +46,7 @@
  * Longest wait of a caller at its first try for a server's cold-start share, in milliseconds. One
  * that waits longer gets its first event late, and may as well come back when there is room.
  */
-const FIRST_LONGEST_ROOM_MILLISECONDS = 600;
+const FIRST_ATTEMPT_MAXIMUM_WAIT_MILLISECONDS = 600;
 
 export interface RoomWaitInput {
   readonly route: Route;
@@ -67,15 +67,18 @@
  */
 export function planRoomWait(input: RoomWaitInput): number {
   const { route, isRetry, idleMilliseconds, remainingMilliseconds } = input;
-  const patience = Math.min(callerPatience(route) - idleMilliseconds, remainingMilliseconds);
+  const patience = Math.min(
+    callerPatienceMilliseconds(route) - idleMilliseconds,
+    remainingMilliseconds,
+  );
   const stay = patience - FIRST_EVENT_MILLISECONDS;
   const longest = isRetry
     ? stay
-    : Math.min(stay, FIRST_LONGEST_ROOM_MILLISECONDS - idleMilliseconds);
+    : Math.min(stay, FIRST_ATTEMPT_MAXIMUM_WAIT_MILLISECONDS - idleMilliseconds);
   return input.roomInMilliseconds <= longest ? input.roomInMilliseconds : 0;
 }
 
-export interface WaitInput {
+export interface GroupWaitInput {
   readonly route: Route;
   /** Since the request arrived, or since its caller's last event. */
   readonly idleMilliseconds: number;
@@ -89,11 +92,11 @@
 }
 
 /** Milliseconds for which the stream may still be kept; 0 when it has to be given up now. */
-export function planWait(input: WaitInput): number {
-  const needed = input.hasBegun ? NEXT_EVENT_MILLISECONDS : FIRST_EVENT_MILLISECONDS;
-  const patience = callerPatience(input.route) - input.idleMilliseconds;
-  const longest = Math.max(0, Math.min(patience, input.remainingMilliseconds) - needed);
+export function planGroupWait(input: GroupWaitInput): number {
+  const neededMilliseconds = input.hasBegun ? NEXT_EVENT_MILLISECONDS : FIRST_EVENT_MILLISECONDS;
+  const patience = callerPatienceMilliseconds(input.route) - input.idleMilliseconds;
+  const longest = Math.max(0, Math.min(patience, input.remainingMilliseconds) - neededMilliseconds);
   if (input.hasBegun) return longest;
-  const fewest = input.isRetry ? RETURNED_CHANCE : FIRST_CHANCE;
-  return input.chanceOfReturn(longest) < fewest ? 0 : longest;
+  const minimumChance = input.isRetry ? RETRY_MINIMUM_CHANCE : FIRST_ATTEMPT_MINIMUM_CHANCE;
+  return input.chanceOfReturn(longest) < minimumChance ? 0 : longest;
 }
--- a/packages/forwarding/src/serve-stream.ts
+++ b/packages/forwarding/src/serve-stream.ts
@@ -13,7 +13,7 @@
 import { describeOutcome, OutcomeKind, proveNotRun } from './outcome.js';
 import type { Outcome } from './outcome.js';
 import { fail, refuse } from './own-answer.js';
-import { canOffer } from './plan-offer.js';
+import { canAdmitStream } from './plan-queue-admission.js';
 import { planRefusalCause, RefusalCause } from './plan-retry-after.js';
 import { planEventTimeout } from './plan-wait.js';
 import { roundedOrNone } from './rounded-or-none.js';
@@ -22,7 +22,7 @@
 import { startStreamAttempt, StreamEndKind } from './stream-attempt.js';
 import type { StreamAttempt, StreamEnd } from './stream-attempt.js';
 import { createStreamRecord } from './stream-record.js';
-import { watchStuck } from './stuck-watch.js';
+import { watchForStall } from './stall-watch.js';
 
 /** Sends of one stream before its service is taken to be full. */
 const MAXIMUM_SENDS = 3;
@@ -96,7 +96,7 @@
 
   /** Whether a server can begin the stream in time. */
   function fits({ slots, expected, reportAge, typicalMilliseconds }: ServerView): boolean {
-    return canOffer({
+    return canAdmitStream({
       route,
       slots,
       expectedStreams: expected,
@@ -167,14 +167,16 @@
 
   function hasGroupStopped(): boolean {
     const engine = accepted.configuration.services.get(service)?.engine;
-    return engine !== undefined && engine.sets > 0 && context.pulse.hasStopped(service);
+    return engine !== undefined && engine.sets > 0 && context.pulse.hasServiceStalled(service);
   }
 
   /** Milliseconds until the stream is likely to be served; undefined where nothing tells. */
   function likelyOf(cause: RefusalCause, delay: Delay | undefined): number | undefined {
     if (cause === RefusalCause.GroupBroken) {
       const isBroken = delay?.kind === DelayKind.GroupBroken;
-      return context.groupHealth.likelyReturn(isBroken ? delay.brokenForMilliseconds : 0);
+      return context.groupHealth.likelyReturnMilliseconds(
+        isBroken ? delay.brokenForMilliseconds : 0,
+      );
     }
     return delay?.kind === DelayKind.BackingOff ? delay.roomInMilliseconds : undefined;
   }
@@ -238,7 +240,7 @@
       }
       const { server, attempt } = start;
       const { idleMilliseconds } = record;
-      const end = await watchStuck({
+      const end = await watchForStall({
         context,
         accepted,
         server,
@@ -268,7 +270,7 @@
           progress.runs -= 1;
           if (end.isGroupBroken) {
             state.groupRefusals += 1;
-            context.groupHealth.refused(server);
+            context.groupHealth.recordRefusal(server);
           }
           break;
         case StreamEndKind.Broken:
--- a/packages/forwarding/src/silent-server.test.ts
+++ b/packages/forwarding/src/silent-server.test.ts
@@ -9,7 +9,7 @@
 
 import { startFixture, streamEvents } from './forwarding-fixture.js';
 import type { Fixture, Script } from './forwarding-fixture.js';
-import { callerPatience } from './plan-wait.js';
+import { callerPatienceMilliseconds } from './plan-wait.js';
 import { STREAM_ROUTE } from './stream-route-fixture.js';
 
 let fixture: Fixture;
@@ -22,7 +22,7 @@
 const ALL_EVENTS = [1, 2, 3, 4, 5, 6].map((id) => `id: ${id}\ndata: ${id}\n\n`).join('');
 
 /** Makes some events and then nothing more. */
-function fallSilentAfter(count: number): Script {
+function sendEventsThenStall(count: number): Script {
   return (incoming, response) => {
     if (count === 0) return;
     response.writeHead(200, {
@@ -74,7 +74,7 @@
 });
 
 it('goes on elsewhere at once where it waits for its first event', async () => {
-  await start(fallSilentAfter(0), streamEvents(EVENTS));
+  await start(sendEventsThenStall(0), streamEvents(EVENTS));
   const began = performance.now();
   const answer = stream('waiting');
   await sleep(50);
@@ -85,7 +85,7 @@
 });
 
 it('goes on elsewhere behind its last event, also while its service makes no events', async () => {
-  await start(fallSilentAfter(3), streamEvents(EVENTS));
+  await start(sendEventsThenStall(3), streamEvents(EVENTS));
   const answer = stream('begun');
   await sleep(50);
   reporting.delete('one');
@@ -98,33 +98,36 @@
   ['that has begun', 3],
 ])('ends a stream %s before its caller leaves where no server goes on', async (_what, events) => {
   // Guards against streams that are moved, wait for a service that stands still, and are left.
-  await start(fallSilentAfter(events), fallSilentAfter(0));
+  await start(sendEventsThenStall(events), sendEventsThenStall(0));
   const began = performance.now();
   const answer = stream('late');
   await sleep(50);
   reporting.delete('one');
   await answer;
-  expect(performance.now() - began).toBeLessThan(callerPatience(STREAM_ROUTE));
+  expect(performance.now() - began).toBeLessThan(callerPatienceMilliseconds(STREAM_ROUTE));
   expect(fixture.arrivals[0]?.instanceId).toBe('one');
 });
 
 it('ends a stream before its caller leaves where its server stops after a long wait', async () => {
   // Guards against streams that wait at one server for as long as their callers stay.
-  await start(fallSilentAfter(0), streamEvents(EVENTS));
+  await start(sendEventsThenStall(0), streamEvents(EVENTS));
   const began = performance.now();
   const answer = stream('long');
   await sleep(1750);
   reporting.delete('one');
   await answer;
-  expect(performance.now() - began).toBeLessThan(callerPatience(STREAM_ROUTE));
+  expect(performance.now() - began).toBeLessThan(callerPatienceMilliseconds(STREAM_ROUTE));
   expect(fixture.arrivals[0]?.instanceId).toBe('one');
 });
 
 it('leaves a stream that has begun to a server that reports, as long as its caller stays', async () => {
   // Guards against answers that an entry breaks off although their server is there.
   const pausing: Script = (incoming, response) => {
-    fallSilentAfter(3)(incoming, response);
-    setTimeout(() => response.end('id: 4\ndata: 4\n\n'), callerPatience(STREAM_ROUTE) + 100);
+    sendEventsThenStall(3)(incoming, response);
+    setTimeout(
+      () => response.end('id: 4\ndata: 4\n\n'),
+      callerPatienceMilliseconds(STREAM_ROUTE) + 100,
+    );
   };
   await start(pausing, streamEvents(EVENTS));
   expect(await stream('pausing')).toContain('id: 4');
--- a/packages/forwarding/src/simulate-rate-limit.ts
+++ b/packages/forwarding/src/simulate-rate-limit.ts
@@ -37,9 +37,9 @@
   /** Most requests in a window, less what the bound allows; above 0 the bound is broken. */
   readonly excess: number;
   /** Requests that arrived in the last ten seconds of the limit, a second. */
-  readonly used: number;
+  readonly usedPerSecond: number;
   /** Milliseconds from the end of the limit until half of the entries know of it. */
-  readonly liftKnownAfter: number;
+  readonly liftKnownAfterMilliseconds: number;
 }
 
 export const LIMITED_FROM_MILLISECONDS = 1000;
@@ -97,7 +97,7 @@
   let now = 0;
   let deliveries: Delivery[] = [];
   const arrivals: number[] = [];
-  let liftKnownAfter = Infinity;
+  let liftKnownAfterMilliseconds = Infinity;
 
   const entries: ServerRateLimits[] = names.map((own) => {
     const others = names.filter((name) => name !== own);
@@ -156,9 +156,9 @@
       if (!sendingNames.has(names[index] ?? '') || isPaused || random() >= demandPerStep) continue;
       if (entry.roomInMilliseconds(SERVER, senders) === 0) send(entry);
     }
-    if (now < liftedAt || liftKnownAfter !== Infinity) return;
+    if (now < liftedAt || liftKnownAfterMilliseconds !== Infinity) return;
     const aware = entries.filter((entry) => entry.limitOf(SERVER) === undefined);
-    if (aware.length >= entries.length / 2) liftKnownAfter = now - liftedAt;
+    if (aware.length >= entries.length / 2) liftKnownAfterMilliseconds = now - liftedAt;
   }
 
   for (; now < SIMULATED_MILLISECONDS; now += STEP_MILLISECONDS) step();
@@ -169,7 +169,7 @@
   const measured = arrivals.filter((at) => at >= measuredFrom).length;
   return {
     excess: worstExcess(arrivals, allowed),
-    used: measured / (MEASURED_MILLISECONDS / 1000),
-    liftKnownAfter,
+    usedPerSecond: measured / (MEASURED_MILLISECONDS / 1000),
+    liftKnownAfterMilliseconds,
   };
 }
--- a/packages/forwarding/src/stuck-watch.ts
+++ b/packages/forwarding/src/stall-watch.ts
@@ -11,7 +11,7 @@
 const SILENCE_MILLISECONDS = 1000;
 const CHECK_MILLISECONDS = 200;
 
-export interface StuckWatchOptions {
+export interface StallWatchOptions {
   readonly context: ForwardContext;
   readonly accepted: AcceptedRequest;
   readonly server: BackendServer;
@@ -22,7 +22,7 @@
   mayContinue(): boolean;
 }
 
-function isStuck({ context, accepted, server, idleMilliseconds }: StuckWatchOptions): boolean {
+function isStalled({ context, accepted, server, idleMilliseconds }: StallWatchOptions): boolean {
   const isSilent = context.liveness.isSilent(server);
   // A stream that has not begun loses only its place in a queue that does not move.
   if (isSilent && !accepted.answer.hasBegun) return true;
@@ -32,14 +32,14 @@
   // of another queue loses the place that it has.
   const isWaiting = !accepted.answer.hasBegun && context.ledger.isQueueing(server.instanceId);
   if (isWaiting) return false;
-  return context.pulse.isStuck(accepted.service, server.instanceId, SILENCE_MILLISECONDS);
+  return context.pulse.isStalled(accepted.service, server.instanceId, SILENCE_MILLISECONDS);
 }
 
 /** Resolves with the end of the attempt. */
-export async function watchStuck(options: StuckWatchOptions): Promise<StreamEnd> {
+export async function watchForStall(options: StallWatchOptions): Promise<StreamEnd> {
   const { attempt } = options;
   const timer = setInterval(() => {
-    if (options.mayContinue() && isStuck(options)) attempt.cancel('silent while others answer');
+    if (options.mayContinue() && isStalled(options)) attempt.cancel('silent while others answer');
   }, CHECK_MILLISECONDS);
   const end = await attempt.end;
   clearInterval(timer);
--- a/packages/forwarding/src/stream-attempt.ts
+++ b/packages/forwarding/src/stream-attempt.ts
@@ -91,7 +91,7 @@
 
   function takeEvent(streamHead: AnswerHead, event: StreamEvent): void {
     if (doubt !== undefined) return;
-    pulse.beat(accepted.service, server.instanceId);
+    pulse.recordEvent(accepted.service, server.instanceId);
     liveness.recordContact(server.instanceId);
     switch (checkSequence(sink.lastEventId(), event.id)) {
       case Sequence.Known:
--- a/packages/forwarding/src/stream-delay.ts
+++ b/packages/forwarding/src/stream-delay.ts
@@ -7,9 +7,9 @@
 
 import { remainingOf } from './forward-context.js';
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
-import { planCrowdWait } from './plan-offer.js';
+import { planRecheckDelay } from './plan-queue-admission.js';
 import { RefusalCause } from './plan-retry-after.js';
-import { planRoomWait, planWait } from './plan-wait.js';
+import { planRoomWait, planGroupWait } from './plan-wait.js';
 
 export enum DelayKind {
   /** The lock-step groups of all servers stand still. */
@@ -84,10 +84,10 @@
 ): number {
   switch (delay.kind) {
     case DelayKind.GroupBroken:
-      return planWait({ ...situation, ...delay, route, isRetry });
+      return planGroupWait({ ...situation, ...delay, route, isRetry });
     case DelayKind.Crowded:
       // It has lost too much of its caller's patience to wait for room once more.
-      return situation.isMoved ? 0 : planCrowdWait({ ...situation, route, isRetry });
+      return situation.isMoved ? 0 : planRecheckDelay({ ...situation, route, isRetry });
     case DelayKind.Limited:
     case DelayKind.BackingOff:
       return planRoomWait({ ...situation, ...delay, route, isRetry });
