--- a/packages/forwarding/src/active-statement.ts
+++ b/packages/forwarding/src/active-statement.ts
@@ -1,8 +1,8 @@
 /**
- * A statement of a backend server that stands, as metrics tell of it.
+ * A statement of a backend server that currently applies, as exposed in metrics.
  */
 export interface ActiveStatement {
   readonly instanceId: string;
-  /** Since the server first stated it. */
+  /** Time since the server first made the statement. */
   readonly ageMilliseconds: number;
 }
--- a/packages/forwarding/src/cold-start-share.ts
+++ b/packages/forwarding/src/cold-start-share.ts
@@ -1,33 +1,36 @@
 /**
- * This entry's share of what a cold backend server bears. A server may turn cold at any moment
- * and says so late, and far above its cold rate it crashes. So every server of a service with
- * a cold phase is treated as cold: its rate in any second, divided among the entries, is more
- * than even loads need, and no late message can break it.
+ * Limits the requests that this entry sends to each backend server to its share of the rate that
+ * the server can take while cold. A server may become cold at any moment, states so late, and
+ * crashes far above its cold-start rate. Every server of a service with a cold-start phase is
+ * therefore always treated as cold: the rate, divided among the entries, exceeds what evenly
+ * distributed load needs, and the limit does not depend on a message arriving in time.
  *
- * Where there are more entries than a server bears requests a second, one request each would
- * be too many. Then each server is sent to only by as many entries, by rendezvous: everybody
- * finds the same ones without asking, and another set for each server.
+ * When there are more entries than a server takes requests per second, one request from each would
+ * already be too many. Then only that many entries send to the server, chosen by rendezvous
+ * hashing: all entries compute the same set without communication, and each server gets a different
+ * one.
  */
 import { createSenderRanks } from './sender-rank.js';
 import type { SendingEntries } from './sender-rank.js';
 
 export interface ColdStartShare {
   /**
-   * Milliseconds until one more request may be sent: 0 for now, infinite where this entry is not
-   * to send to the server at all.
+   * Milliseconds until this entry may send one more request: 0 if it may send now, `Infinity` if it
+   * is not among the senders of the server.
    */
   roomInMilliseconds(instanceId: string, coldRequestsPerSecond: number): number;
-  /** Number of entries that may send to a server, this one included or not. */
+  /** Number of entries that may send to a server, whether or not this one is among them. */
   senderCount(coldRequestsPerSecond: number): number;
   recordSent(instanceId: string): void;
-  /** Forgets servers that are gone. */
+  /** Drops the state of servers that are no longer listed. */
   keepOnly(instanceIds: ReadonlyMap<string, unknown>): void;
 }
 
 const WINDOW_MILLISECONDS = 1000;
 /**
- * Part of a server's places that is given out where entries outnumber them. Entries that have just
- * started know some of the others, each another part, and find themselves among the first too often.
+ * Share of the possible senders of a server that is used when there are more entries than that.
+ * Entries that have just started know only some of the others, each a different subset, and rank
+ * themselves among the senders too often.
  */
 const ALLOCATED_SHARE = 0.6;
 
@@ -79,7 +82,8 @@
     },
     keepOnly(instanceIds) {
       for (const instanceId of sent.keys()) {
-        // A server may be missing from the list for a moment; what it got in this second counts.
+        // A server can be missing from the list briefly; requests sent within the window still
+        // count.
         const isIdle = sendsInWindow(instanceId).length === 0;
         if (isIdle && !instanceIds.has(instanceId)) sent.delete(instanceId);
       }
--- a/packages/forwarding/src/plan-rate-limit-delay.test.ts
+++ b/packages/forwarding/src/plan-rate-limit-delay.test.ts
@@ -18,20 +18,20 @@
   });
 }
 
-describe('room at a server that states a rate limit', () => {
-  it('is there at once for regular senders, and again when the others had their part', () => {
+describe('the delay at a server that states a rate limit', () => {
+  it('is 0 for regular senders, and again after the others have had their share', () => {
     expect(delayWith({})).toBe(0);
     expect(delayWith({ sentAt: [9000] })).toBe(2000);
     expect(delayWith({ sentAt: [9000], now: 12_000 })).toBe(0);
   });
 
-  it('comes in bursts where one entry may send more than one request a second', () => {
+  it('allows bursts where one entry may send more than one request a second', () => {
     const sentAt = [9600, 9700, 9800];
     expect(delayWith({ requestsPerSecond: 8, senders: 2, sentAt })).toBe(0);
     expect(delayWith({ requestsPerSecond: 8, senders: 2, sentAt: [9500, ...sentAt] })).toBe(500);
   });
 
-  it('is there by turns for the others while the server is not heard of', () => {
+  it('lets the other entries take turns while nothing is heard from the server', () => {
     expect(delayWith({ rank: 3 })).toBe(2000);
     expect(delayWith({ rank: 3, now: 12_000 })).toBe(0);
     expect(delayWith({ rank: 4, now: 12_000 })).toBe(2000);
@@ -39,7 +39,7 @@
     expect(delayWith({ rank: 3, now: 14_000 })).toBe(6000);
   });
 
-  it('is there now and then at a server that takes nothing, to learn whether it still does', () => {
+  it('allows an occasional request at a limit of 0, to learn whether the limit still applies', () => {
     expect(delayWith({ requestsPerSecond: 0 })).toBe(0);
     expect(delayWith({ requestsPerSecond: 0, sentAt: [9000] })).toBe(7000);
   });
@@ -47,7 +47,9 @@
 
 const SEEDS = 2;
 const SMALL = { entries: 6, demand: 2.5 };
-/** Each server is sent to by a few entries of a large fleet, as cold starts demand. */
+/**
+ * A large fleet in which only a few entries send to each server, as the cold-start limit requires.
+ */
 const LARGE = { entries: 98, senders: 8, demand: 2.5 };
 
 describe('entries that share a rate limit', () => {
@@ -58,11 +60,11 @@
     ['a burst after a pause', { entries: 98, demand: 400, pausedUntil: 25_000 }],
     ['a high demand', { entries: 6, demand: 60 }],
     ['a single entry', { entries: 1, demand: 20 }],
-    ['entries that know few others', { ...LARGE, knownShare: 0.3 }],
+    ['entries that know few other entries', { ...LARGE, knownShare: 0.3 }],
     ['messages that are lost', { ...SMALL, lossShare: 0.5 }],
-    ['entries that hear nothing of each other', { ...SMALL, lossShare: 1, demand: 10 }],
-  ])('never send more together than it allows: %s', (_what, fields) => {
-    // Guards against shares that add up to more than the server takes from all of them.
+    ['entries that receive no messages from each other', { ...SMALL, lossShare: 1, demand: 10 }],
+  ])('never send more in total than it allows: %s', (_what, fields) => {
+    // Guards against shares whose sum exceeds what the server takes from all entries.
     for (const requestsPerSecond of [0, 0.3, 1, 1.1, 4, 17]) {
       for (let seed = 1; seed <= SEEDS; seed += 1) {
         const scenario: RateLimitScenario = { seed, requestsPerSecond, ...fields };
@@ -76,7 +78,7 @@
     ['a small fleet', SMALL],
     ['a large fleet', LARGE],
     ['a fleet in which half of the entries have no requests', { ...SMALL, idleShare: 0.5 }],
-  ])('use a third of it at least: %s', (_what, fields) => {
+  ])('use at least a third of it: %s', (_what, fields) => {
     for (let seed = 1; seed <= 5; seed += 1) {
       const { usedPerSecond } = simulateRateLimit({ seed, requestsPerSecond: 1, ...fields });
       expect(usedPerSecond).toBeGreaterThan(1 / 3);
--- a/packages/forwarding/src/plan-rate-limit-delay.ts
+++ b/packages/forwarding/src/plan-rate-limit-delay.ts
@@ -1,30 +1,36 @@
 /**
- * When this entry may send one more request to a backend server that states a rate limit. The
- * limit covers the requests of all entries together, and no entry knows in time what the others
- * send. So a few of them, the regular senders, divide the rate; the others get the server's
- * answers by word of these. While the server is not heard of, because the regular senders are
- * gone or have no request for it, each other entry may send one request in its turn, which also
- * shows whether the limit still stands. Pure.
+ * Computes when this entry may send one more request to a backend server that states a rate limit.
+ * The limit covers the requests of all entries together, and an entry does not learn in time what
+ * the others send. A few entries, the regular senders, therefore divide the rate among themselves
+ * and relay the server's statements to the others. While nothing is heard from the server, because
+ * the regular senders are gone or have no requests for it, the other entries take turns at sending
+ * one request each, which also shows whether the limit still applies. Pure.
  */
 export interface RateLimitDelayInput {
-  /** As the server states it. */
+  /** The limit as the server states it. */
   readonly requestsPerSecond: number;
-  /** Place of this entry among those that may send to the server, from 0. */
+  /** Rank of this entry among the entries that may send to the server, from 0. */
   readonly rank: number;
   /** Number of the entries that may send to the server. */
   readonly senders: number;
-  /** Own requests to the server since it has a limit, oldest first. */
+  /** Times of this entry's requests to the server since it has a limit, oldest first. */
   readonly sentAt: readonly number[];
-  /** When the server was last known to state the limit, to whichever entry. */
+  /** When the server last stated the limit to any entry, as far as this entry knows. */
   readonly statedAt: number;
   readonly now: number;
 }
 
-/** A server that states less is still sent a request now and then: only answers lift a limit. */
+/**
+ * Smallest rate that is assumed. A server that states less still gets a request from time to time,
+ * because only an answer can lift a limit.
+ */
 const MINIMUM_REQUESTS_PER_SECOND = 0.25;
-/** Regular senders may each send at once, so their number is bounded like the rate. */
+/**
+ * Each regular sender may send one request at once, so their number is bounded in proportion to the
+ * rate: this minimum plus the rate.
+ */
 const MINIMUM_REGULAR_SENDERS = 2;
-/** Word of a regular sender's answer reaches all entries within this time. */
+/** Shortest turn: within this time a statement received by a regular sender reaches all entries. */
 const MINIMUM_TURN_MILLISECONDS = 2000;
 const REQUESTS_PER_TURN = 2;
 
@@ -55,7 +61,7 @@
   return isOwnTurn ? 0 : cycleMilliseconds - sinceOwnTurnBegan;
 }
 
-/** Milliseconds until one more request may be sent; 0 for now. */
+/** Milliseconds until this entry may send one more request; 0 if it may send now. */
 export function planRateLimitDelay(input: RateLimitDelayInput): number {
   const rate = Math.max(MINIMUM_REQUESTS_PER_SECOND, input.requestsPerSecond);
   const regularSenders = Math.min(input.senders, MINIMUM_REGULAR_SENDERS + Math.floor(rate));
--- a/packages/forwarding/src/retry-budget-share.ts
+++ b/packages/forwarding/src/retry-budget-share.ts
@@ -1,13 +1,13 @@
 /**
- * This entry's share of the deployment's retry budget. The bound holds for the sum over all
- * entries: a ratio of the requests plus a fixed slack, in any window. Each entry takes the
- * ratio of its own requests, and its part of the slack, so no message is needed for the sum to
- * hold; counting too many entries only makes the shares smaller.
+ * This entry's share of the deployment-wide retry budget. The budget limits the sum over all
+ * entries, in any window, to a ratio of the requests plus a fixed slack. Each entry uses the ratio
+ * of its own requests and its part of the slack, so the sum holds without communication;
+ * overestimating the number of entries only makes the shares smaller.
  */
 export interface RetryBudgetShare {
-  /** Counts a caller's request for a service. */
+  /** Records a caller's request for a service. */
   recordRequest(service: string): void;
-  /** Takes one repeat for a service; false when the share is spent. */
+  /** Uses one retry for a service; false if the share is exhausted. */
   trySpend(service: string): boolean;
 }
 
@@ -17,7 +17,7 @@
   readonly windowMilliseconds: number;
 }
 
-/** Part of the bound that is used, so that requests counted at a window's edge break nothing. */
+/** Share of the budget that is used, so that requests at the edge of a window cannot violate it. */
 const USED_SHARE = 0.7;
 
 interface ServiceWindow {
--- a/packages/forwarding/src/sender-rank.ts
+++ b/packages/forwarding/src/sender-rank.ts
@@ -1,22 +1,24 @@
 /**
- * Ranks the entries that may send to a backend server whose bound they share. Rendezvous hashing
- * gives all entries the same order without a message, and another order for each server.
+ * Ranks the entries that share the limit of a backend server. With rendezvous hashing all entries
+ * compute the same order without communication, and each server has a different order.
  */
 import { rendezvousOrder } from '@lapisbridge/routing';
 
-/** The entries that share a bound. */
+/** The entries that share a limit. */
 export interface SendingEntries {
   readonly own: string;
-  /** All that are known, this one included; a new list whenever it changes. */
+  /** Names of all known entries, this one included; a new array whenever it changes. */
   readonly names: readonly string[];
-  /** Entries to be reckoned with, where not all of them are known yet. */
+  /**
+   * Number of entries to assume, which is larger than the number of names while not all are known.
+   */
   readonly count: number;
 }
 
 export interface SenderRanks {
-  /** Place of this entry among those that may send to the server, from 0. */
+  /** Rank of this entry among the entries that may send to the server, from 0. */
   rankAt(instanceId: string, entries: SendingEntries): number;
-  /** Forgets servers that are gone. */
+  /** Drops the state of servers that are no longer listed. */
   keepOnly(instanceIds: ReadonlyMap<string, unknown>): void;
 }
 
@@ -35,7 +37,8 @@
       let rank = ranks.get(instanceId);
       if (rank === undefined) {
         const unknownCount = Math.max(0, count - names.length);
-        // Named by each entry for itself: with the same names all would be among the first together.
+        // Each entry derives the placeholders from its own name: with shared placeholders all
+        // entries would rank first at the same time.
         const placeholders = Array.from({ length: unknownCount }, (_, index) => `${own} ${index}`);
         rank = rendezvousOrder(instanceId, [...names, ...placeholders]).indexOf(own);
         ranks.set(instanceId, rank);
--- a/packages/forwarding/src/server-backoffs.test.ts
+++ b/packages/forwarding/src/server-backoffs.test.ts
@@ -15,7 +15,7 @@
   return { kind: RetryAfterKind.Stated, milliseconds };
 }
 
-describe('backoffs that servers ask for', () => {
+describe('backoffs that servers request', () => {
   let now = 0;
   let backoffs: ServerBackoffs;
 
@@ -24,7 +24,7 @@
     backoffs = createServerBackoffs(() => now, createSilentLogger());
   });
 
-  it('last as long as was asked for', () => {
+  it('last as long as requested', () => {
     backoffs.onAnswer('server', refusal(after(3000)));
     now += 2999;
     expect(backoffs.remainingMilliseconds('server')).toBe(1);
@@ -34,7 +34,7 @@
     expect(backoffs.listActive()).toEqual([]);
   });
 
-  it('are prolonged by later answers, and not shortened or ended', () => {
+  it('are extended by later answers, never shortened or ended', () => {
     backoffs.onAnswer('server', refusal(after(3000)));
     now += 1000;
     backoffs.onAnswer('server', refusal(after(500)));
@@ -45,7 +45,7 @@
     expect(backoffs.listActive()).toEqual([{ instanceId: 'server', ageMilliseconds: 1000 }]);
   });
 
-  it('are asked for by 503 alone, in a time that can be read and is above 0', () => {
+  it('are requested only by a 503 with a readable time above 0', () => {
     backoffs.onAnswer('server', refusal(after(3000), 200));
     backoffs.onAnswer('server', refusal(after(3000), 429));
     backoffs.onAnswer('server', refusal({ kind: RetryAfterKind.Unreadable }));
@@ -53,13 +53,13 @@
     expect(backoffs.remainingMilliseconds('server')).toBe(0);
   });
 
-  it('are forgotten when they are over, and not before', () => {
+  it('are dropped when they have expired, and not before', () => {
     backoffs.onAnswer('server', refusal(after(3000)));
     backoffs.removeExpired();
     expect(backoffs.remainingMilliseconds('server')).toBe(3000);
   });
 
-  it('count the requests that are sent meanwhile', () => {
+  it('count the requests that are sent during them', () => {
     backoffs.recordSent('server');
     backoffs.onAnswer('server', refusal(after(3000)));
     backoffs.recordSent('server');
--- a/packages/forwarding/src/server-backoffs.ts
+++ b/packages/forwarding/src/server-backoffs.ts
@@ -1,6 +1,6 @@
 /**
- * Backoffs that backend servers ask for: with a 503, a server may say for how long it wants no
- * further request from this entry. A backoff concerns the entry that was told, and no other.
+ * Backoffs requested by backend servers: with a 503, a server may state for how long it takes no
+ * further request from this entry. A backoff applies only to the entry that received it.
  */
 import type { Logger } from '@lapisbridge/logger';
 
@@ -9,16 +9,16 @@
 import type { ActiveStatement } from './active-statement.js';
 
 export interface ServerBackoffs {
-  /** Takes what a server's answer states; the answer has to be the server's own. */
+  /** Processes the head of an answer, which must come from the server itself. */
   onAnswer(instanceId: string, head: AnswerHead): void;
-  /** Milliseconds until the server may be sent to again; 0 for now. */
+  /** Milliseconds until requests may be sent to the server again; 0 if they may be sent now. */
   remainingMilliseconds(instanceId: string): number;
   recordSent(instanceId: string): void;
-  /** Servers that back off now. */
+  /** Servers that are currently backing off. */
   listActive(): ActiveStatement[];
-  /** Requests sent to servers while they backed off, since the start. */
+  /** Number of requests sent to servers during their backoff since the process started. */
   requestsSent(): number;
-  /** Forgets backoffs that are over, also those of servers that are not asked about any more. */
+  /** Drops expired backoffs, including those of servers that are no longer queried. */
   removeExpired(): void;
 }
 
--- a/packages/forwarding/src/server-departures.test.ts
+++ b/packages/forwarding/src/server-departures.test.ts
@@ -25,7 +25,7 @@
     departures.onAnswer(server(1), headWith({ isLeaving: true }));
   });
 
-  it('hold from the first answer on, whatever later ones or the store say', () => {
+  it('apply from the first answer on, whatever later answers or the store state', () => {
     now += 60_000;
     departures.onAnswer(server(1), headWith());
     list(server(1));
@@ -33,7 +33,7 @@
     expect(departures.list()).toEqual([{ instanceId: 'server', ageMilliseconds: 60_000 }]);
   });
 
-  it('do not hold for a process that starts anew under the same id', () => {
+  it('do not apply to a process that has restarted under the same id', () => {
     expect(departures.isLeaving(server(2))).toBe(false);
     list(server(2));
     expect(departures.list()).toEqual([]);
@@ -41,11 +41,11 @@
     expect(departures.isLeaving(server(2))).toBe(true);
   });
 
-  it('hold where the start of a process is not known', () => {
+  it('apply if the start time of the process is not known', () => {
     expect(departures.isLeaving(server(undefined))).toBe(true);
   });
 
-  it('outlast a time in which the server is missing from the list', () => {
+  it('persist while the server is missing from the list', () => {
     list();
     expect(departures.list()).toEqual([]);
     now += 60_000;
--- a/packages/forwarding/src/server-departures.ts
+++ b/packages/forwarding/src/server-departures.ts
@@ -1,6 +1,7 @@
 /**
- * Backend servers that state in their answers that they leave. The store may list such a server as
- * ready for some time, or lose its row without a word; what the server says itself holds.
+ * Backend servers that state in their answers that they are leaving, that is, shutting down. The
+ * store may list such a server as ready for some time, or drop its row without notice, so the
+ * server's own statement takes precedence.
  */
 import type { BackendServer } from '@lapisbridge/catalog';
 import type { Logger } from '@lapisbridge/logger';
@@ -9,30 +10,33 @@
 import type { ActiveStatement } from './active-statement.js';
 
 export interface ServerDepartures {
-  /** Takes what a server's answer states; the answer has to be the server's own. */
+  /** Processes the head of an answer, which must come from the server itself. */
   onAnswer(server: BackendServer, head: AnswerHead): void;
   isLeaving(server: BackendServer): boolean;
-  /** Servers that leave and are not gone for long. */
+  /** Leaving servers, except those that are missing from the list. */
   list(): ActiveStatement[];
-  /** Forgets servers that are gone or have started anew. */
+  /** Drops servers that have restarted or have been missing from the list for long. */
   keepOnly(servers: ReadonlyMap<string, BackendServer>): void;
 }
 
 interface Departure {
   readonly since: number;
-  /** Start of the process that leaves; undefined where it is not known. */
+  /** Start time of the leaving process; undefined if it is not known. */
   readonly startedAt: number | undefined;
   /** When the server was found missing from the list; undefined while it is listed. */
   goneAt: number | undefined;
 }
 
-/** A store that was down may list servers again that it had dropped. */
+/**
+ * How long a missing server is remembered: a store that was down may list servers again that it had
+ * dropped.
+ */
 const RETENTION_MILLISECONDS = 600_000;
 
 export function createServerDepartures(now: () => number, logger: Logger): ServerDepartures {
   const departures = new Map<string, Departure>();
 
-  /** A process that starts anew under the same id does not leave. */
+  /** A process that has restarted under the same id is not leaving. */
   function hasRestarted(departure: Departure, { startedAt }: BackendServer): boolean {
     if (startedAt === undefined || departure.startedAt === undefined) return false;
     return startedAt !== departure.startedAt;
--- a/packages/forwarding/src/server-liveness.test.ts
+++ b/packages/forwarding/src/server-liveness.test.ts
@@ -20,7 +20,7 @@
   };
 }
 
-/** Servers whose sidecars report in turn, except those that have stopped. */
+/** Simulates servers whose sidecars report in turn, except those that have stopped. */
 function simulateServers(count: number) {
   let now = 0;
   const servers = Array.from({ length: count }, (_, rank) => rankServer(rank));
@@ -41,7 +41,7 @@
 }
 
 describe('a backend server', () => {
-  it('is silent some reports after it has stopped, until it is heard again', () => {
+  it('is silent some reports after it has stopped, until it reports again', () => {
     const simulation = simulateServers(16);
     simulation.run(2000, []);
     expect(simulation.silent()).toBe(0);
@@ -55,8 +55,8 @@
     expect(simulation.liveness.silentServerCount()).toBe(0);
   });
 
-  it('is not silent any more where the store lists it for longer than a lease', () => {
-    // Guards against servers without work whose sidecar alone has stopped.
+  it('is no longer silent if the store lists it for longer than a lease', () => {
+    // Guards against withholding requests from a server of which only the sidecar has stopped.
     const simulation = simulateServers(16);
     simulation.run(5000, [3]);
     expect(simulation.silent()).toBe(1);
@@ -65,7 +65,7 @@
     expect(simulation.liveness.silentServerCount()).toBe(0);
   });
 
-  it('that was never heard counts from when it is known', () => {
+  it('that has never reported is measured from when it became known', () => {
     const simulation = simulateServers(16);
     simulation.run(300, [3]);
     expect(simulation.silent()).toBe(0);
@@ -73,7 +73,7 @@
     expect(simulation.silent()).toBe(1);
   });
 
-  it('is not silent where most of its service are: the fault is on the way to them', () => {
+  it('is not silent if most of its service are: the fault is in the network', () => {
     const simulation = simulateServers(16);
     simulation.run(1000, []);
     simulation.run(3000, [0, 1, 2, 3, 4, 5, 6, 7, 8]);
@@ -90,8 +90,8 @@
   });
 });
 
-describe('the limit of silence', () => {
-  it('follows the pace of reports, above a floor', () => {
+describe('the silence limit', () => {
+  it('follows the reporting interval, above a minimum', () => {
     expect(planSilenceLimit([])).toBe(Infinity);
     expect(planSilenceLimit([10, 20, 30, 9000])).toBe(400);
     expect(planSilenceLimit([200, 250, 300])).toBe(1000);
--- a/packages/forwarding/src/server-liveness.ts
+++ b/packages/forwarding/src/server-liveness.ts
@@ -1,38 +1,46 @@
 /**
- * When each backend server last gave a sign of life: a report of its sidecar, or bytes of an answer.
- * A process or machine that has stopped still takes connections, so its silence alone tells. How
- * long a silence means something follows from the other servers of the service, whose reports come
- * the same way: where most are silent, the fault is not theirs.
+ * Tracks when each backend server was last heard from, through a report of its sidecar or bytes of
+ * an answer. A process or machine that has stopped still accepts connections, so silence is the
+ * only indication. How long a silence is significant follows from the other servers of the service,
+ * whose reports take the same path: if most of them are silent, the servers are not at fault.
  */
 import type { BackendServer } from '@lapisbridge/catalog';
 import type { Logger } from '@lapisbridge/logger';
 
 export interface ServerLiveness {
-  /** A sign of life, given so many milliseconds ago. */
+  /** Records a report or bytes from the server, sent `ageMilliseconds` ago. */
   recordContact(instanceId: string, ageMilliseconds?: number): void;
-  /** Since the last sign of life, or since the server is known; undefined for an unknown one. */
+  /**
+   * Time since the server was last heard from, or since it became known; undefined for an unknown
+   * one.
+   */
   silenceMilliseconds(instanceId: string): number | undefined;
-  /** Whether the server is silent while most of its service are not, and may be gone. */
+  /**
+   * Whether the server is silent while most servers of its service are not, so that it may be down.
+   */
   isSilent(server: BackendServer): boolean;
-  /** Number of servers that were silent when last asked about. */
+  /** Number of servers that were silent when last checked. */
   silentServerCount(): number;
-  /** Takes note of new servers and forgets those that are gone. */
+  /** Adds new servers and drops those that are no longer listed. */
   keepOnly(servers: ReadonlyMap<string, BackendServer>): void;
 }
 
-/** Two reports of a sidecar, so that a lost one changes nothing. */
+/** Covers two reports of a sidecar, so that one lost report has no effect. */
 const MINIMUM_SILENCE_LIMIT_MILLISECONDS = 400;
-/** Half of the servers reported within half the pace of reports: two reports may be lost. */
+/** Half of the servers reported within half a reporting interval, so two reports may be lost. */
 const MEDIAN_FACTOR = 4;
 /**
- * The store lists no server whose own heartbeats have ceased for so long. One that is still listed
- * has only lost its sidecar, and must not stay without work.
+ * The store drops servers whose own heartbeats have stopped for this long. One that is still listed
+ * has only lost its sidecar and must get requests again.
  */
 const STORE_LEASE_MILLISECONDS = 6000;
-/** The limit is worked out anew after this long. */
+/** How long a computed limit is reused. */
 const LIMIT_CACHE_MILLISECONDS = 50;
 
-/** Longest silence of a server that may be well, given the silences of all servers like it. */
+/**
+ * Longest silence of a server that may be healthy, given the silences of all comparable servers.
+ * All in milliseconds; `Infinity` without any server.
+ */
 export function planSilenceLimit(silences: readonly number[]): number {
   const sorted = [...silences].sort((left, right) => left - right);
   const median = sorted[Math.floor(sorted.length / 2)];
--- a/packages/forwarding/src/server-load-tracker.test.ts
+++ b/packages/forwarding/src/server-load-tracker.test.ts
@@ -15,7 +15,7 @@
   startedAt: undefined,
 };
 
-it('doubts a server after a failure, less after a sound answer, and no less after a request given up', () => {
+it('suspects a server after a failure, less after a healthy answer, and no less after a cancelled one', () => {
   const ledger = createServerLoadTracker(() => 0);
   const limits = {
     roomInMilliseconds: 0,
@@ -34,8 +34,9 @@
   expect(suspicionAfter(Verdict.Healthy)).toBeLessThan(doubt);
 });
 
-it('doubts a server that refuses with slots free, and not one that is full or tells no load', () => {
-  // Guards against a server that sheds all load and draws every request as the least loaded one.
+it('suspects a server that refuses with free slots, and not one that is full or reports no load', () => {
+  // Guards against a server that sheds all load and, as the least loaded one, attracts every
+  // request.
   let now = 0;
   const ledger = createServerLoadTracker(() => now);
   const verdict = (): Verdict => verdictOfRefusal(ledger.hasFreeSlot(SERVER));
--- a/packages/forwarding/src/server-load-tracker.ts
+++ b/packages/forwarding/src/server-load-tracker.ts
@@ -1,24 +1,27 @@
 /**
- * What this entry knows of each backend server's load and soundness: its own requests there,
- * the server's last report, and how recent requests went. A report lags, so it is corrected by
- * what this entry has sent and seen ended since.
+ * Tracks the load and health of each backend server as seen by this entry: its own requests in
+ * flight, the server's last load report, and the outcome of recent requests. Reports lag, so they
+ * are corrected by what this entry has sent and seen end since.
  */
 import type { BackendServer } from '@lapisbridge/catalog';
 import type { ServerView } from '@lapisbridge/routing';
 
 import type { ReportedLoad } from './caller-protocol.js';
 
-/** What the end of an attempt says of its server. */
+/** What the end of an attempt says about the health of its server. */
 export enum Verdict {
   Healthy = 'sound',
   Failing = 'failing',
-  /** It was given up before the server could have answered. */
+  /**
+   * Says nothing about the server: the attempt was cancelled before the server could have answered,
+   * or refused by a full server.
+   */
   Inconclusive = 'open',
 }
 
 /**
- * What a refusal says of its server. A full server is neither sound nor failing; one that refuses
- * with slots free fails, and would draw every request by its low load.
+ * Verdict of a refused attempt. A full server is neither healthy nor failing. One that refuses with
+ * free slots is failing, and would otherwise attract every request by its low load.
  */
 export function verdictOfRefusal(hasFreeSlot: boolean): Verdict {
   return hasFreeSlot ? Verdict.Failing : Verdict.Inconclusive;
@@ -26,18 +29,22 @@
 
 export interface ServerLoadTracker {
   recordSent(instanceId: string, promptTokens: number): void;
-  /** A stream's first event, or a whole answer, came after this time. */
+  /** Records that a stream's first event, or a complete answer, arrived after this time. */
   recordAnswer(instanceId: string, milliseconds: number, promptTokens: number): void;
   recordEnd(instanceId: string, verdict: Verdict, promptTokens: number, wasAnswered: boolean): void;
-  /** `ageMilliseconds`: how long ago the load was read, where it was relayed. */
+  /**
+   * Records a load report. `ageMilliseconds` is how long ago the load was read, if it was relayed.
+   */
   recordReport(instanceId: string, load: ReportedLoad, ageMilliseconds?: number): void;
-  /** Own requests now at the server. */
+  /** This entry's requests in flight at the server. */
   inFlight(instanceId: string): number;
-  /** Whether requests wait at the server, by its last report. */
+  /** Whether requests are queued at the server, according to its last report. */
   isQueueing(instanceId: string): boolean;
-  /** Whether the server had a free slot, by its last report; false where there is none to go by. */
+  /**
+   * Whether the server had a free slot, according to its last report; false without a recent one.
+   */
   hasFreeSlot(server: BackendServer): boolean;
-  /** `senders` are the entries that send to the same servers. */
+  /** `senders` is the number of entries that send to the same servers. */
   view(
     server: BackendServer,
     limits: Pick<
@@ -46,7 +53,7 @@
     >,
     senders: number,
   ): ServerView;
-  /** Forgets servers that are gone. */
+  /** Drops the state of servers that are no longer listed and have no requests in flight. */
   keepOnly(instanceIds: ReadonlyMap<string, unknown>): void;
 }
 
@@ -58,18 +65,20 @@
   suspicionAt: number;
   report: ReportedLoad | undefined;
   reportAt: number;
-  /** Own requests there when the report was taken. */
+  /** This entry's requests in flight when the report was received. */
   inFlightAtReport: number;
 }
 
-/** Weight of the newest time in the running mean: about the last ten answers count. */
+/** Weight of the newest time in the moving average, which covers about the last ten answers. */
 const NEWEST_ANSWER_WEIGHT = 0.1;
-/** Half-life of a failure: a server that recovers gets work again after a few seconds. */
+/**
+ * Half-life of suspicion, so that a server that recovers gets requests again after a few seconds.
+ */
 const SUSPICION_HALF_LIFE_MILLISECONDS = 2500;
-/** One sound answer takes this share of the doubt away. */
+/** Factor by which one healthy answer reduces suspicion. */
 const HEALTHY_ANSWER_FACTOR = 0.75;
 const MAXIMUM_SUSPICION = 6;
-/** Reports older than this say nothing any more. */
+/** Older reports are ignored. */
 const MAXIMUM_REPORT_AGE_MILLISECONDS = 1500;
 
 export function createServerLoadTracker(now: () => number): ServerLoadTracker {
@@ -109,12 +118,15 @@
     return Math.max(record.inFlight, report.running + report.waiting + inFlightGrowth(record));
   }
 
-  /** Own requests there, more or fewer than when the report was taken. */
+  /** Change of this entry's requests in flight since the report was received. */
   function inFlightGrowth(record: ServerRecord): number {
     return record.inFlight - record.inFlightAtReport;
   }
 
-  /** Where this entry sends, others do too: all have seen the same report. */
+  /**
+   * Estimates the requests at the server. The other entries have seen the same report, so each is
+   * assumed to have sent as many requests since as this one.
+   */
   function expected(record: ServerRecord, senders: number): number {
     const unseen = reportAge(record) === undefined ? 0 : Math.max(0, inFlightGrowth(record));
     return outstanding(record) + unseen * Math.max(0, senders - 1);
--- a/packages/forwarding/src/server-rate-limits.test.ts
+++ b/packages/forwarding/src/server-rate-limits.test.ts
@@ -35,7 +35,7 @@
     limits.onAnswer({ instanceId: 'server', head: stating, sentAt });
   }
 
-  it('stand from the answer that states one to the answer that states none', () => {
+  it('apply from the answer that states one to the answer that states none', () => {
     const limits = limited();
     expect(limits.limitOf('server')).toBe(1.5);
     expect(limits.limitOf('other')).toBeUndefined();
@@ -55,7 +55,7 @@
     expect(limits.limitOf('server')).toBe(2);
   });
 
-  it('are not lifted by the answer to a request that was sent before', () => {
+  it('are not lifted by the answer to a request that was sent before the statement', () => {
     const limits = limited();
     answer(limits, headWith(), 950);
     expect(limits.limitOf('server')).toBe(1.5);
@@ -67,7 +67,7 @@
     expect(limits.limitOf('server')).toBe(1.5);
   });
 
-  it('are told to other entries, lifted ones for ten seconds', () => {
+  it('are sent to other entries, lifted ones for ten seconds', () => {
     const limits = limited();
     const told = { instanceId: 'server', requestsPerSecond: 1.5, ageMilliseconds: 100 };
     expect(limits.statements()).toEqual([told]);
@@ -79,7 +79,7 @@
     expect(limits.statements()).toEqual([]);
   });
 
-  it('are taken from other entries where they are newer', () => {
+  it('are accepted from other entries if they are newer', () => {
     const limits = limited();
     limits.onPeerStatements([{ instanceId: 'server', requestsPerSecond: 9, ageMilliseconds: 400 }]);
     expect(limits.limitOf('server')).toBe(1.5);
@@ -90,14 +90,14 @@
       { instanceId: 'server', requestsPerSecond: undefined, ageMilliseconds: 100 },
     ]);
     expect(limits.limitOf('server')).toBeUndefined();
-    // A server that was never known to be limited is not worth remembering.
+    // A lifted limit is not recorded for a server that was never known to be limited.
     limits.onPeerStatements([
       { instanceId: 'other', requestsPerSecond: undefined, ageMilliseconds: 0 },
     ]);
     expect(limits.statements()).toHaveLength(1);
   });
 
-  it('make news when they change, and not when they are stated again', () => {
+  it('call `onChange` when they change, but not when they are repeated', () => {
     const limits = limited();
     expect(changes).toBe(1);
     answer(limits, headWith({ rateLimit: stated(1.5) }), 1050);
@@ -108,7 +108,7 @@
     expect(changes).toBe(3);
   });
 
-  it('outlast a moment in which the server is missing from the list', () => {
+  it('persist while the server is briefly missing from the list', () => {
     const limits = limited();
     limits.keepOnly(new Map());
     expect(limits.limitOf('server')).toBe(1.5);
--- a/packages/forwarding/src/server-rate-limits.ts
+++ b/packages/forwarding/src/server-rate-limits.ts
@@ -1,7 +1,7 @@
 /**
  * Rate limits that backend servers state in their answers. A limit covers the requests of all
- * entries together and stands for as long as the server states it. Entries tell each other what
- * servers state; of several statements about a server the newest counts.
+ * entries together and applies for as long as the server states it. Entries exchange the statements
+ * that they receive; the newest statement about a server wins.
  */
 import type { Logger } from '@lapisbridge/logger';
 
@@ -12,43 +12,43 @@
 import { createSenderRanks } from './sender-rank.js';
 import type { SendingEntries } from './sender-rank.js';
 
-/** What a server stated, as entries tell it each other. */
+/** A server's statement as entries exchange it. */
 export interface RateLimitStatement {
   readonly instanceId: string;
-  /** Undefined where the server has no limit any more. */
+  /** Undefined if the server no longer has a limit. */
   readonly requestsPerSecond: number | undefined;
-  /** Since the answer that stated it. */
+  /** Time since the answer that contained the statement. */
   readonly ageMilliseconds: number;
 }
 
-/** One answer, which has to be the server's own. */
+/** One answer, which must come from the server itself. */
 export interface RateLimitedAnswer {
   readonly instanceId: string;
   readonly head: AnswerHead;
-  /** Time of the request that it answers. */
+  /** When the answered request was sent. */
   readonly sentAt: number;
 }
 
 export interface ServerRateLimits {
-  /** Takes what the head of a server's answer states. */
+  /** Processes the head of a server's answer. */
   onAnswer(answer: RateLimitedAnswer): void;
-  /** Takes what another entry tells. */
+  /** Processes statements received from another entry. */
   onPeerStatements(statements: readonly RateLimitStatement[]): void;
-  /** Statements for other entries, with limits that were lifted a short time ago. */
+  /** Statements to send to other entries, including recently lifted limits. */
   statements(): RateLimitStatement[];
-  /** Requests a second that the server takes from all entries; undefined where it has no limit. */
+  /** Requests per second that the server takes from all entries; undefined if it has no limit. */
   limitOf(instanceId: string): number | undefined;
   /**
-   * Milliseconds until this entry may send one more request to the server; 0 for now. `senders` is
-   * the number of entries that may send to it.
+   * Milliseconds until this entry may send one more request to the server; 0 if it may send now.
+   * `senders` is the number of entries that may send to it.
    */
   roomInMilliseconds(instanceId: string, senders: number): number;
   recordSent(instanceId: string): void;
   /** Number of servers with a limit. */
   limitedServerCount(): number;
-  /** Requests sent to servers with a limit since the start. */
+  /** Number of requests sent to servers with a limit since the process started. */
   requestsSent(): number;
-  /** Forgets servers that are gone. */
+  /** Drops the state of servers that are no longer listed. */
   keepOnly(instanceIds: ReadonlyMap<string, unknown>): void;
 }
 
@@ -69,17 +69,20 @@
 interface Statement {
   readonly requestsPerSecond: number | undefined;
   readonly statedAt: number;
-  /** Own requests while the limit stands, oldest first. */
+  /** Times of this entry's requests while the limit applies, oldest first. */
   readonly sentAt: number[];
 }
 
-/** Long enough that every entry is told that a limit is lifted. */
+/** How long a lifted limit is sent to other entries: long enough to reach every entry. */
 const LIFTED_RETENTION_MILLISECONDS = 10_000;
-/** A server may be missing from the list for a moment while the store is slow. */
+/**
+ * How long the limit of an unlisted server is kept. A server can be missing from the list briefly
+ * while the store is slow.
+ */
 const ABSENT_RETENTION_MILLISECONDS = 30_000;
-/** Longer than the slowest regular sender waits between two requests. */
+/** How long sent requests are kept: longer than the slowest regular sender waits between two. */
 const SENT_RETENTION_MILLISECONDS = 15_000;
-/** What is told ages on its way: a statement that differs by less is the same one. */
+/** Relayed statements age in transit: one that is newer by less than this is the same statement. */
 const AGE_TOLERANCE_MILLISECONDS = 50;
 
 export function createServerRateLimits(options: ServerRateLimitsOptions): ServerRateLimits {
@@ -120,7 +123,7 @@
         case RateLimitKind.None: {
           const before = known.get(instanceId);
           if (before?.requestsPerSecond === undefined) return;
-          // A failure, or the answer to an earlier request, does not lift a limit.
+          // A failure, or the answer to a request sent before the statement, does not lift a limit.
           if (!isSuccess(head.status) || sentAt < before.statedAt) return;
           applyStatement(instanceId, undefined, now(), StatementSource.Answer);
           return;
--- a/packages/forwarding/src/server-statements.test.ts
+++ b/packages/forwarding/src/server-statements.test.ts
@@ -13,14 +13,14 @@
 
 const SERVER = serverWith();
 
-/** States all that a server can state. */
+/** Fields of a head that makes every kind of statement. */
 const STATING: Partial<AnswerHead> = {
   rateLimit: { kind: RateLimitKind.Stated, requestsPerSecond: 0.5 },
   retryAfter: { kind: RetryAfterKind.Stated, milliseconds: 3000 },
   isLeaving: true,
 };
 
-describe('what servers state of themselves', () => {
+describe('statements of servers', () => {
   let statements: ServerStatements;
 
   beforeEach(() => {
@@ -42,7 +42,7 @@
     statements.onAnswer({ server: SERVER, head, requestId: 'id', sentAt: 900 });
   }
 
-  it('decides together whether and when it is sent to', () => {
+  it('are combined into one admission', () => {
     answer(refusalWith(STATING));
     expect(statements.admission(SERVER, 1)).toMatchObject({
       isLeaving: true,
@@ -55,7 +55,7 @@
     ['another server that has the address now', headWith({ status: 421, isMisdirected: true })],
     ['an answer to another request', headWith({ status: 503, requestId: 'other' })],
     ['a success without a signature', headWith({ isSigned: false })],
-  ])('is not what %s states', (_, head) => {
+  ])('are not taken from %s', (_, head) => {
     answer({ ...head, ...STATING });
     expect(statements.admission(SERVER, 1)).toEqual({
       isLeaving: false,
--- a/packages/forwarding/src/server-statements.ts
+++ b/packages/forwarding/src/server-statements.ts
@@ -1,7 +1,7 @@
 /**
- * What backend servers state of themselves in their answers, and what follows from it for the
- * choice of a server: rate limits, backoffs and departures. Every way of sending a request asks
- * here, and every answer passes here.
+ * Combines what backend servers state about themselves in their answers (rate limits, backoffs and
+ * departures) for the choice of a server. Every way of sending a request queries it, and every
+ * answer passes through it.
  */
 import type { BackendServer } from '@lapisbridge/catalog';
 
@@ -15,18 +15,20 @@
 export interface ServerAnswer {
   readonly server: BackendServer;
   readonly head: AnswerHead;
-  /** Id and time of the request that it answers. */
+  /** Id of the answered request, and when it was sent. */
   readonly requestId: string;
   readonly sentAt: number;
 }
 
-/** What a server has stated of the requests that it takes from this entry now. */
+/** Whether and when a server takes requests from this entry, according to its statements. */
 export interface ServerAdmission {
-  /** It takes none any more. */
+  /** It is shutting down and takes no more requests. */
   readonly isLeaving: boolean;
-  /** Milliseconds for which it has asked to be sent nothing; 0 where it has not. */
+  /** Remaining milliseconds of the backoff that it has requested; 0 without one. */
   readonly backoffMilliseconds: number;
-  /** Milliseconds until its rate limit allows one more request of this entry; 0 for now. */
+  /**
+   * Milliseconds until its rate limit allows one more request from this entry; 0 if it does now.
+   */
   readonly roomInMilliseconds: number;
 }
 
@@ -35,9 +37,9 @@
   recordSent(instanceId: string): void;
   /** `senders` is the number of entries that may send to the server. */
   admission(server: BackendServer, senders: number): ServerAdmission;
-  /** Requests a second that the server takes from all entries; undefined where it has no limit. */
+  /** Requests per second that the server takes from all entries; undefined if it has no limit. */
   rateLimitOf(instanceId: string): number | undefined;
-  /** Forgets servers that are gone. */
+  /** Drops the state of servers that are no longer listed. */
   keepOnly(servers: ReadonlyMap<string, BackendServer>): void;
 }
 
--- a/packages/forwarding/src/shares.test.ts
+++ b/packages/forwarding/src/shares.test.ts
@@ -25,10 +25,10 @@
   { maxLength: 300 },
 );
 
-describe('shares that entries take without asking each other', () => {
+describe('shares that entries compute without communication', () => {
   it('of the retry budget never add up to more than the budget in any window', () => {
-    // A service turns grey and every entry repeats what fails. Each knows only its own requests;
-    // together they would multiply the load of a service that is failing already.
+    // Guards against retry storms: when a service fails partially, every entry retries and knows
+    // only its own requests, so that together they would multiply the load of the failing service.
     fc.assert(
       fc.property(steps, (played: Step[]) => {
         let now = 0;
@@ -59,9 +59,9 @@
     );
   });
 
-  it('of a cold server never add up to more than it bears in any second', () => {
-    // A zone returns cold and every entry sends to it at once. Far above its cold rate the server
-    // crashes, and whoever waits there is lost.
+  it('of a cold server never add up to more than its cold-start rate in any second', () => {
+    // When a zone returns, its servers are cold and every entry sends to them at once. Far above
+    // its cold-start rate a server crashes, and its queued requests are lost.
     const rate = 36;
     fc.assert(
       fc.property(steps, (played: Step[]) => {
@@ -88,8 +88,8 @@
     );
   });
 
-  it('of a cold server never add up to more where entries are more than it bears requests', () => {
-    // 39 entries see a server come back, and each sends it one request: twice what it bears.
+  it('of a cold server never add up to more than its rate when entries outnumber its requests', () => {
+    // 39 entries see a server return; one request from each would be twice what it can take.
     const rate = 14;
     const names = Array.from({ length: 39 }, (_, index) => `entry-${index}`);
     const now = 0;
@@ -110,10 +110,11 @@
     }
   });
 
-  it('of a cold server stay within its bound while entries do not know all others yet', () => {
-    // All entries lose power and start at once. For some tenths of a second each knows some of the
-    // others, another part each, and finds itself among the few that may send to a cold server more
-    // often than it should. The platform bears half more than the rate, and a few.
+  it('of a cold server stay within its limit while entries do not know all others yet', () => {
+    // All entries lose power and start at the same time. For some tenths of a second each knows a
+    // different subset of the others, and ranks itself among the few senders of a cold server more
+    // often than it should. The platform tolerates one and a half times the rate, plus a few
+    // requests.
     const rate = 14;
     const random = createRandom(7);
     const names = Array.from({ length: 46 }, (_, index) => `entry-${index}`);
@@ -132,7 +133,7 @@
     }
   });
 
-  it('tells when there is room again', () => {
+  it('return the time until the next request is allowed', () => {
     let now = 0;
     const share = createColdStartShare(
       () => ENTRIES,
@@ -145,9 +146,9 @@
     expect(share.roomInMilliseconds('server', 7)).toBe(0);
   });
 
-  it('of a server that is missing from the list for a moment are not begun anew', () => {
-    // A row of the list lapses while the store is slow and is back a moment later. Entries that had
-    // forgotten what they sent would send a cold server twice what it bears, and it would crash.
+  it('of a server that is briefly missing from the list are not reset', () => {
+    // A row of the list expires while the store is slow and returns shortly after. Entries that had
+    // dropped what they sent would send a cold server twice what it can take, and it would crash.
     let now = 0;
     const share = createColdStartShare(
       () => ENTRIES,
@@ -161,7 +162,7 @@
     expect(share.roomInMilliseconds('server', 7)).toBe(0);
   });
 
-  it('leaves a server without a cold phase alone', () => {
+  it('do not limit a server without a cold-start phase', () => {
     const share = createColdStartShare(
       () => ENTRIES,
       () => 0,
--- a/packages/forwarding/src/simulate-rate-limit.ts
+++ b/packages/forwarding/src/simulate-rate-limit.ts
@@ -1,6 +1,7 @@
 /**
- * Plays many entries against one backend server that states a rate limit, in simulated time, for
- * tests: entries learn the limit from their own answers and from each other, some time later.
+ * Discrete-time simulation of many entries that send to one backend server with a rate limit, for
+ * tests. Entries learn the limit from answers to their own requests and, after a delay, from each
+ * other.
  */
 import { createRandom, pickSome } from '@lapisbridge/kernel';
 import { createSilentLogger } from '@lapisbridge/logger';
@@ -15,15 +16,15 @@
 export interface RateLimitScenario {
   readonly seed: number;
   readonly entries: number;
-  /** Entries that may send to the server; all of them without it. */
+  /** Entries that may send to the server; all of them if absent. */
   readonly senders?: number;
-  /** Stated by the server from `LIMITED_FROM` on. */
+  /** Stated by the server from `LIMITED_FROM_MILLISECONDS` on. */
   readonly requestsPerSecond: number;
-  /** Requests a second that would go to the server without the limit. */
+  /** Requests per second that would be sent to the server without the limit. */
   readonly demand: number;
-  /** When the demand is back after a pause, in milliseconds; there is no pause without it. */
+  /** When demand resumes after a pause, in milliseconds; no pause if absent. */
   readonly pausedUntil?: number;
-  /** When the server states no limit any more, in milliseconds. */
+  /** When the server stops stating a limit, in milliseconds. */
   readonly liftedAt?: number;
   /** Share of the entries that get no requests. */
   readonly idleShare?: number;
@@ -34,9 +35,11 @@
 }
 
 export interface RateLimitResult {
-  /** Most requests in a window, less what the bound allows; above 0 the bound is broken. */
+  /**
+   * Largest number of requests in a window minus the allowed number; above 0 the limit is violated.
+   */
   readonly excess: number;
-  /** Requests that arrived in the last ten seconds of the limit, a second. */
+  /** Requests per second that arrived in the last ten seconds of the limit. */
   readonly usedPerSecond: number;
   /** Milliseconds from the end of the limit until half of the entries know of it. */
   readonly liftKnownAfterMilliseconds: number;
@@ -48,11 +51,13 @@
 const SERVER = 'server';
 const STEP_MILLISECONDS = 20;
 const GOSSIP_INTERVAL_MILLISECONDS = 500;
-/** Entries that are told at a time. */
+/** Entries to which each set of statements is sent. */
 const GOSSIP_FANOUT = 10;
 const MAXIMUM_GOSSIP_DELAY_MILLISECONDS = 400;
 const MAXIMUM_ANSWER_MILLISECONDS = 1200;
-/** The users' rule: from this time on the bound holds for every window. */
+/**
+ * Required by the users: from this time after the start of the limit on, it holds for every window.
+ */
 const GRACE_MILLISECONDS = 3000;
 const WINDOW_MILLISECONDS = 4000;
 const TOLERATED_FACTOR = 1.5;
