--- a/packages/forwarding/src/arrival-meter.ts
+++ b/packages/forwarding/src/arrival-meter.ts
@@ -1,17 +1,20 @@
 /**
- * How many requests a second this entry takes for each service, of late. Callers are spread over
- * the entries by a hash, so the own rate tells roughly what the others take.
+ * Measures how many requests per second this entry receives for each service, as an exponentially
+ * decaying average. Callers are distributed over the entries by a hash, so the rate of this entry
+ * approximates that of every other.
  */
 export interface ArrivalMeter {
   recordArrival(service: string): void;
   arrivalsPerSecond(service: string): number;
 }
 
-/** Age at which a request counts for about a third: a few seconds of a calm service. */
+/**
+ * Age at which a request counts for about a third (1/e): a few seconds of a service at low load.
+ */
 const DECAY_MILLISECONDS = 2000;
 
 interface DecayedCount {
-  /** Decayed number of requests. */
+  /** Number of requests, decayed until `at`. */
   count: number;
   at: number;
 }
--- a/packages/forwarding/src/event-activity.test.ts
+++ b/packages/forwarding/src/event-activity.test.ts
@@ -2,7 +2,7 @@
 
 import { createEventActivity } from './event-activity.js';
 
-it('tells a service that has stopped from one that is slow or idle', () => {
+it('distinguishes a stopped service from a slow or idle one', () => {
   let now = 0;
   const activity = createEventActivity(() => now);
   expect(activity.hasServiceStalled('drafts')).toBe(false);
@@ -15,7 +15,7 @@
   expect(activity.hasServiceStalled('drafts')).toBe(false);
 });
 
-it('calls a server stuck only while others of its service make events', () => {
+it('reports a server as stalled only while others of its service send events', () => {
   let now = 0;
   const activity = createEventActivity(() => now);
   activity.recordEvent('drafts', 'one');
--- a/packages/forwarding/src/event-activity.ts
+++ b/packages/forwarding/src/event-activity.ts
@@ -1,23 +1,23 @@
 /**
- * When events last came from each backend server. A stream that is silent may wait for its
- * turn, or its server may be cut off; other streams tell which: events flow from the service
- * while nothing at all comes from this server.
+ * Tracks when each backend server last sent an event of a stream. A silent stream may be queued, or
+ * its server may be disconnected. Other streams show which: the server is stalled if its service
+ * sends events while nothing at all comes from this server.
  */
 export interface EventActivity {
   recordEvent(service: string, instanceId: string): void;
-  /** Whether the server is silent while its service is not. */
+  /** Whether the server has been silent for `sinceMilliseconds` while its service has not. */
   isStalled(service: string, instanceId: string, sinceMilliseconds: number): boolean;
-  /** Whether a service that made events a moment ago has stopped altogether. */
+  /** Whether a service that sent events recently has stopped altogether. */
   hasServiceStalled(service: string): boolean;
-  /** Forgets servers that are gone. */
+  /** Drops the state of servers that are no longer listed. */
   keepOnly(instanceIds: ReadonlyMap<string, unknown>): void;
 }
 
-/** The service counts as alive when another server made an event this lately. */
+/** A service is active if any of its servers sent an event within this time. */
 const SERVICE_ACTIVE_MILLISECONDS = 250;
-/** Two passes of a crowded group with an uneven map, and more. */
+/** More than two passes of a fully loaded group with an unbalanced map. */
 const SERVICE_STALL_MILLISECONDS = 600;
-/** A service that made no event for this long may just have had nothing to do. */
+/** A service without events for this long may simply be idle. */
 const SERVICE_IDLE_MILLISECONDS = 5000;
 
 export function createEventActivity(now: () => number): EventActivity {
--- a/packages/forwarding/src/group-health.test.ts
+++ b/packages/forwarding/src/group-health.test.ts
@@ -24,8 +24,9 @@
 }
 
 describe('a lock-step group', () => {
-  it('is not opened again by word that is older than a refusal', () => {
-    // Guards against streams that are sent to a group that stands still, on the word of a relay.
+  it('is not reopened by a report that is older than a refusal', () => {
+    // Guards against sending streams to a stopped group because of a relayed report that is older
+    // than a refusal.
     const { clock, health } = start();
     const rank = { group: 'group', rank: 0, epoch: 1, isOpen: true };
     health.recordReport(rank);
@@ -36,9 +37,9 @@
     expect(health.brokenForMilliseconds(server(0, true))).toBe(20);
   });
 
-  it('is broken for all its ranks as soon as one says so', () => {
-    // A rank dies; its neighbours notice one after the other. Requests sent to those that have
-    // not noticed yet would hang until their engines give up.
+  it('is broken for all its ranks as soon as one reports it', () => {
+    // When a rank dies, the other ranks detect it one after another. Requests sent to ranks that
+    // have not detected it yet would hang until their engines time out.
     const { health } = start();
     for (const rank of [0, 1, 2]) {
       health.recordReport({ group: 'group', rank, epoch: 1, isOpen: rank !== 1 });
@@ -46,17 +47,17 @@
     expect(health.brokenForMilliseconds(server(0, true))).toBeDefined();
   });
 
-  it('is open again with the first word of a newer epoch', () => {
-    // The group has formed anew; the last words of other ranks are still those of the old one.
+  it('is open again with the first report of a newer epoch', () => {
+    // After the group is re-formed, the last reports of other ranks still belong to the old epoch.
     const { health } = start();
     health.recordReport({ group: 'group', rank: 0, epoch: 1, isOpen: false });
     health.recordReport({ group: 'group', rank: 1, epoch: 2, isOpen: true });
     expect(health.brokenForMilliseconds(server(0, false))).toBeUndefined();
   });
 
-  it('is judged by the list once no sidecar is heard', () => {
-    // All sidecars were cut off while they said "broken". Believing that for ever would keep a
-    // service closed that has long been whole again.
+  it('takes its state from the list of servers once no sidecar reports', () => {
+    // All sidecars were disconnected while they reported the group as broken. Relying on these
+    // reports forever would keep a service closed that has long recovered.
     const { health, clock } = start();
     health.recordReport({ group: 'group', rank: 0, epoch: 1, isOpen: false });
     clock.now = 2000;
@@ -64,7 +65,7 @@
     expect(health.brokenForMilliseconds(server(0, false, 2))).toBeDefined();
   });
 
-  it('is broken after a refusal that names the cause, until its ranks say otherwise', () => {
+  it('is broken after a refusal that names the cause, until its ranks report otherwise', () => {
     const { health } = start();
     health.recordReport({ group: 'group', rank: 0, epoch: 3, isOpen: true });
     health.recordRefusal(server(0, true, 2));
@@ -73,9 +74,9 @@
     expect(health.brokenForMilliseconds(server(1, true))).toBeUndefined();
   });
 
-  it('has stood still for an unknown time when it is found broken', () => {
-    // An entry restarts in the middle of an outage. Taking that for its beginning, it would send
-    // callers away who can be served in a moment.
+  it('has been stopped for an unknown time when its first report says that it is broken', () => {
+    // An entry may restart during an outage. If it took that moment for the start of the outage, it
+    // would refuse callers that can be served shortly.
     const { health, clock } = start();
     health.recordReport({ group: 'group', rank: 0, epoch: 1, isOpen: false });
     expect(health.brokenForMilliseconds(server(0, false))).toBe(Infinity);
@@ -86,7 +87,7 @@
     expect(health.brokenForMilliseconds(server(0, false))).toBe(200);
   });
 
-  it('wakes those who wait for it', async () => {
+  it('resolves the promise of the next change', async () => {
     const { health } = start();
     health.recordReport({ group: 'group', rank: 0, epoch: 1, isOpen: false });
     const opened = health.nextChange();
--- a/packages/forwarding/src/group-health.ts
+++ b/packages/forwarding/src/group-health.ts
@@ -1,35 +1,43 @@
 /**
- * Which lock-step groups can run work now. All ranks of a group run each pass together, so one
- * rank that died or was cut off stops them all; a request sent meanwhile is refused, or hangs
- * until the engines notice. Sidecars tell first, a refusal tells when it names the cause, and
- * the list of servers tells last.
+ * Tracks which lock-step groups can run work. All ranks of a group run each pass together, so one
+ * rank that dies or is disconnected stops them all; a request sent meanwhile is refused, or hangs
+ * until the engines detect the failure. The state is learned from the reports of the sidecars
+ * first, then from refusals that name the cause, and last from the list of servers.
  */
 import type { BackendServer } from '@lapisbridge/catalog';
 import type { Logger } from '@lapisbridge/logger';
 
 import { createOutageForecast } from './outage-forecast.js';
 
-/** What one rank says of its group. */
+/** A rank's report on the state of its group. */
 export interface RankHealth {
   readonly group: string;
   readonly rank: number;
-  /** Rises each time the group forms anew. */
+  /** Incremented each time the group is re-formed. */
   readonly epoch: number;
   readonly isOpen: boolean;
 }
 
 export interface GroupHealth {
-  /** A rank's sidecar told this so many milliseconds ago. */
+  /** Records a report that a rank's sidecar made `ageMilliseconds` ago. */
   recordReport(health: RankHealth, ageMilliseconds?: number): void;
-  /** A backend server refused a request because its group cannot run work. */
+  /** Records that a backend server refused a request because its group cannot run work. */
   recordRefusal(server: BackendServer): void;
-  /** For how long the server's group has stood still, in milliseconds; undefined while it runs. */
+  /**
+   * How long the server's group has been stopped, in milliseconds: undefined while it runs,
+   * `Infinity` if the start of the outage is not known.
+   */
   brokenForMilliseconds(server: BackendServer): number | undefined;
-  /** Chance that a group that has stood still for so long runs again within the time. */
+  /**
+   * Probability, 0 to 1, that a group that has been stopped for `brokenForMilliseconds` runs again
+   * within `withinMilliseconds`.
+   */
   chanceOfReturn(brokenForMilliseconds: number, withinMilliseconds: number): number;
-  /** Milliseconds within which such a group is likely to run again. */
+  /**
+   * Milliseconds within which a group that has been stopped for this long is likely to run again.
+   */
   likelyReturnMilliseconds(brokenForMilliseconds: number): number;
-  /** Resolves when a group changes between open and broken. */
+  /** Resolves when any group changes between open and broken. */
   nextChange(): Promise<void>;
 }
 
@@ -41,12 +49,12 @@
 
 interface Group {
   readonly ranks: Map<number, RankState>;
-  /** Undefined until a rank was heard. */
+  /** Undefined until a rank has reported. */
   isBroken: boolean | undefined;
   changedAt: number;
 }
 
-/** Word of a rank that was not repeated for this long decides nothing: nine beats of a sidecar. */
+/** Older reports are ignored. Equals nine reporting intervals of a sidecar. */
 const MAXIMUM_REPORT_AGE_MILLISECONDS = 1500;
 
 export function createGroupHealth(now: () => number, logger: Logger): GroupHealth {
@@ -70,7 +78,10 @@
     return group;
   }
 
-  /** Undefined when no rank was heard lately. The newest epoch decides; one broken rank is enough. */
+  /**
+   * Whether the group is broken; undefined without a recent report. Only the newest epoch counts,
+   * and one broken rank is enough.
+   */
   function findIsBroken({ ranks }: Group): boolean | undefined {
     const from = now() - MAXIMUM_REPORT_AGE_MILLISECONDS;
     let newestEpoch = -1;
@@ -90,7 +101,7 @@
     const brokenForMilliseconds = now() - group.changedAt;
     if (!isBroken && Number.isFinite(brokenForMilliseconds))
       forecast.recordOutage(brokenForMilliseconds);
-    // A group that was found broken may have stood still for long.
+    // A group whose first report says that it is broken may have been stopped for any time.
     group.changedAt = group.isBroken === undefined ? -Infinity : now();
     group.isBroken = isBroken;
     logger.info(isBroken ? 'group lost' : 'group regained', { group: name, cause });
--- a/packages/forwarding/src/outage-forecast.test.ts
+++ b/packages/forwarding/src/outage-forecast.test.ts
@@ -3,16 +3,16 @@
 
 import { createOutageForecast } from './outage-forecast.js';
 
-it('gives a young outage little chance, and one of some seconds a better chance', () => {
+it('returns a low probability for a new outage, and a higher one after some seconds', () => {
   const { chanceOfEnd } = createOutageForecast();
   expect(chanceOfEnd(0, 1700)).toBeLessThan(0.2);
   expect(chanceOfEnd(2000, 1700)).toBeGreaterThan(1 / 3);
   expect(chanceOfEnd(4500, 1700)).toBeGreaterThan(chanceOfEnd(500, 1700));
 });
 
-it('learns that outages are long, so that callers are not kept in vain at their begin', () => {
-  // A deployment whose ranks take five seconds to restart. Callers that are kept for most of two
-  // seconds from the first moment have waited for nothing each time.
+it('learns that outages are long, so that callers are not held in vain at their start', () => {
+  // Ranks take five seconds to restart. Callers that are held for most of two seconds from the
+  // start of an outage would always be refused in the end.
   const forecast = createOutageForecast();
   for (let outage = 0; outage < 6; outage += 1) forecast.recordOutage(5000);
   expect(forecast.chanceOfEnd(200, 1700)).toBeLessThan(0.2);
@@ -25,14 +25,14 @@
   expect(forecast.chanceOfEnd(0, 1700)).toBeGreaterThan(0.6);
 });
 
-it('forgets what it saw long ago', () => {
+it('forgets old outages', () => {
   const forecast = createOutageForecast();
   for (let outage = 0; outage < 20; outage += 1) forecast.recordOutage(9000);
   for (let outage = 0; outage < 16; outage += 1) forecast.recordOutage(700);
   expect(forecast.chanceOfEnd(0, 1700)).toBeGreaterThan(0.7);
 });
 
-it('is a chance whatever was seen, and grows with the time', () => {
+it('returns a probability for any recorded outages, which grows with the time', () => {
   const length = fc.integer({ min: 0, max: 60_000 });
   fc.assert(
     fc.property(fc.array(length), length, length, length, (seen, age, within, more) => {
@@ -47,7 +47,7 @@
   expect(createOutageForecast().chanceOfEnd(Infinity, 1000)).toBe(0.5);
 });
 
-it('tells a time by which an outage is likely to be over, and never none', () => {
+it('always returns a time by which an outage is likely to have ended', () => {
   const forecast = createOutageForecast();
   expect(forecast.likelyEndMilliseconds(0)).toBeGreaterThan(2500);
   for (let outage = 0; outage < 12; outage += 1) forecast.recordOutage(1200);
--- a/packages/forwarding/src/outage-forecast.ts
+++ b/packages/forwarding/src/outage-forecast.ts
@@ -1,37 +1,38 @@
 /**
- * How likely a lock-step group that stands still runs again within a time, from how long its
- * outages lasted before. Until some were seen it is assumed that a rank which died, restarts or was
- * cut off is away for a while, and comes back with the same chance in each second from then on.
- * What was seen soon outweighs that. Pure but for the lengths it remembers.
+ * Estimates how likely a stopped lock-step group is to run again within a given time, from the
+ * durations of its earlier outages. Until some are recorded, a shifted exponential distribution is
+ * assumed as the prior: a rank that died, restarts or was disconnected is away for a minimum time,
+ * and then returns with the same probability in each second. Recorded outages soon outweigh the
+ * prior. Pure except for the recorded durations.
  */
 export interface OutageForecast {
-  /** Notes that an outage of this length has ended. */
+  /** Records the duration of an outage that has ended. */
   recordOutage(milliseconds: number): void;
   /**
-   * Chance, 0 to 1, that an outage that has lasted for `ageMilliseconds` ends within the time. An
-   * infinite age is one that is not known.
+   * Probability, 0 to 1, that an outage that has lasted for `ageMilliseconds` ends within
+   * `withinMilliseconds`. An infinite age stands for an unknown one.
    */
   chanceOfEnd(ageMilliseconds: number, withinMilliseconds: number): number;
   /** Milliseconds within which an outage of this age ends in most cases. */
   likelyEndMilliseconds(ageMilliseconds: number): number;
 }
 
-/** The assumption counts as much as so many outages that were seen. */
+/** Weight of the prior, as a number of recorded outages. */
 const PRIOR_OUTAGES = 3;
-/** Assumed length of the shortest, and how much longer they last on average. */
+/** Prior: the shortest duration, and by how much outages exceed it on average. */
 const PRIOR_MINIMUM_MILLISECONDS = 2000;
 const PRIOR_MEAN_EXCESS_MILLISECONDS = 3000;
-/** Outages remembered: the conditions of a deployment change within hours. */
+/** Number of outages kept: the conditions of a deployment change within hours. */
 const MAXIMUM_RECORDED = 16;
-/** Chance for an outage of unknown age. */
+/** Probability for an outage of unknown age. */
 const UNKNOWN_AGE_CHANCE = 0.5;
-/** What is likely: in seven of ten cases. */
+/** Probability that counts as likely: seven of ten cases. */
 const LIKELY_CHANCE = 0.7;
-/** Fineness and end of the search for a likely time. */
+/** Step and upper limit of the search for a likely time. */
 const STEP_MILLISECONDS = 100;
 const MAXIMUM_LIKELY_MILLISECONDS = 30_000;
 
-/** Assumed share of outages that last longer than the time. */
+/** Share of outages that last longer than this according to the prior. */
 function priorShareBeyond(milliseconds: number): number {
   const longer = Math.max(0, milliseconds - PRIOR_MINIMUM_MILLISECONDS);
   return Math.exp(-longer / PRIOR_MEAN_EXCESS_MILLISECONDS);
@@ -40,7 +41,7 @@
 export function createOutageForecast(): OutageForecast {
   const seen: number[] = [];
 
-  /** Weight of all outages that last longer than the time. */
+  /** Weight of all outages, assumed and recorded, that last longer than this. */
   function weightBeyond(milliseconds: number): number {
     let weight = PRIOR_OUTAGES * priorShareBeyond(milliseconds);
     for (const length of seen) {
@@ -52,7 +53,7 @@
   function chanceOfEnd(ageMilliseconds: number, withinMilliseconds: number): number {
     if (!Number.isFinite(ageMilliseconds)) return UNKNOWN_AGE_CHANCE;
     const now = weightBeyond(ageMilliseconds);
-    // After minutes hardly any outage is expected to last longer still; the chance stays a chance.
+    // After minutes hardly any weight remains, and its quotient would not be a valid probability.
     if (now < Number.EPSILON) return UNKNOWN_AGE_CHANCE;
     return 1 - weightBeyond(ageMilliseconds + withinMilliseconds) / now;
   }
--- a/packages/forwarding/src/plan-priority.test.ts
+++ b/packages/forwarding/src/plan-priority.test.ts
@@ -11,7 +11,7 @@
   idleMilliseconds: 0,
 };
 
-it('tells callers that can be in time from those that are late whatever happens', () => {
+it('distinguishes streams that can be in time from those that are late in any case', () => {
   expect(urgencyOf(WAITING)).toBe(Urgency.Fresh);
   expect(urgencyOf({ ...WAITING, idleMilliseconds: 300 })).toBe(Urgency.Late);
   expect(urgencyOf({ ...WAITING, isRetry: true })).toBe(Urgency.Late);
@@ -19,16 +19,16 @@
   expect(urgencyOf({ ...WAITING, isMoved: true, idleMilliseconds: 1000 })).toBe(Urgency.Moved);
 });
 
-it('puts what waited at a server that stopped before what waits elsewhere', () => {
+it('ranks streams moved from a stopped server before those queued elsewhere', () => {
   expect(planPriority(3, Urgency.Moved)).toBeLessThan(planPriority(3, Urgency.Fresh));
 });
 
-it('puts what has begun before what can be in time, and that before the late', () => {
+it('ranks started streams before those that can be in time, and these before late ones', () => {
   const order = [Urgency.Begun, Urgency.Fresh, Urgency.Late].map((one) => planPriority(3, one));
   expect(order).toEqual([2, 3, 4]);
 });
 
-it('stays within the priorities that engines know', () => {
+it('stays within the range of priorities that engines support', () => {
   expect(planPriority(0, Urgency.Begun)).toBe(0);
   expect(planPriority(9, Urgency.Late)).toBe(9);
 });
--- a/packages/forwarding/src/plan-priority.ts
+++ b/packages/forwarding/src/plan-priority.ts
@@ -1,38 +1,38 @@
 /**
- * Who is served first where requests wait for each other. Made for the seconds after an outage and
- * for bursts, in which some callers have waited for so long that their answer is late whatever
- * happens, while those that ask now can still be in time. Served in the order of their arrival all
- * of them are late until the crowd is gone; served last, the late ones lose little, since they are
- * not let go before their callers would leave. Pure.
+ * Computes the priority of streams that are queued. Intended for the seconds after an outage and
+ * for bursts, when some callers have waited so long that their answer is late in any case, while
+ * new ones can still be answered in time. In order of arrival all of them would be late until the
+ * backlog is gone; served last, the late ones lose little, since they are not refused before their
+ * callers would leave. Pure.
  */
 import type { Route } from '@lapisbridge/catalog';
 
 export enum Urgency {
-  /** Its caller has had events: each pause shows. */
+  /** Its caller has received events, so every pause is visible. */
   Begun = 'begun',
-  /** It has waited at a server that stopped: its turn is overdue. */
+  /** It has waited at a server that stopped, so it is overdue. */
   Moved = 'moved',
   /** The answer can still be in time. */
   Fresh = 'fresh',
-  /** The answer is late whatever happens. */
+  /** The answer is late in any case. */
   Late = 'late',
 }
 
 export interface WaitingStream {
   readonly route: Route;
-  /** Whether the caller has had events. */
+  /** Whether the caller has received events. */
   readonly hasBegun: boolean;
-  /** Whether it was taken from a server that gave no sign of life. */
+  /** Whether it was moved from a server that had gone silent. */
   readonly isMoved: boolean;
   /** Whether the caller was refused before. */
   readonly isRetry: boolean;
-  /** Since the request arrived, or since its caller's last event. */
+  /** Time since the request arrived, or since its caller's last event. */
   readonly idleMilliseconds: number;
 }
 
-/** An answer takes about this share of the time that callers hope for. */
+/** Answering takes about this share of the route's latency objective. */
 const ANSWER_TIME_SHARE = 0.5;
-/** 0 is served first. */
+/** Highest value of a priority; 0 is served first. */
 const LOWEST_PRIORITY = 9;
 
 export function urgencyOf(waiting: WaitingStream): Urgency {
@@ -43,7 +43,7 @@
   return isFresh ? Urgency.Fresh : Urgency.Late;
 }
 
-/** `usual` is the priority of the route or of the client account. */
+/** `basePriority` is the priority of the route or of the client account. */
 export function planPriority(basePriority: number, urgency: Urgency): number {
   switch (urgency) {
     case Urgency.Begun:
--- a/packages/forwarding/src/plan-queue-admission.test.ts
+++ b/packages/forwarding/src/plan-queue-admission.test.ts
@@ -18,37 +18,37 @@
     idleMilliseconds: 0,
   };
 
-  it('that has begun is continued wherever there is a queue', () => {
+  it('that has started is continued at any server, however long its queue', () => {
     expect(canAdmitStream({ ...input, hasBegun: true, expectedStreams: 30 })).toBe(true);
   });
 
-  it('that was taken from a silent server is served first elsewhere, so it may wait there', () => {
-    // Guards against streams that wait their turn again at every server.
+  it('that was moved from a silent server has priority elsewhere, so it may be queued there', () => {
+    // Guards against moved streams that wait from the end of the queue again at every server.
     expect(canAdmitStream({ ...input, isMoved: true, idleMilliseconds: 1000 })).toBe(true);
     expect(canAdmitStream({ ...input, isMoved: true, expectedStreams: 14 })).toBe(false);
   });
 
-  it('that was taken from a silent server goes nowhere where its caller would leave', () => {
-    // Guards against streams that are moved only to be left a moment later.
+  it('that was moved from a silent server is not sent where its caller would leave first', () => {
+    // Guards against moving a stream whose caller leaves a moment later.
     const moved = { ...input, isMoved: true, expectedStreams: 0 };
     expect(canAdmitStream({ ...moved, idleMilliseconds: 1600 })).toBe(false);
     expect(canAdmitStream({ ...moved, typicalMilliseconds: 1100 })).toBe(false);
     expect(canAdmitStream({ ...moved, typicalMilliseconds: 0 })).toBe(true);
   });
 
-  it('may wait longer when its caller has come back, as long as that caller stays', () => {
+  it('may be queued longer when it is a retry, for as long as its caller waits', () => {
     expect(canAdmitStream(input)).toBe(false);
     expect(canAdmitStream({ ...input, isRetry: true })).toBe(true);
     expect(canAdmitStream({ ...input, isRetry: true, idleMilliseconds: 1500 })).toBe(false);
   });
 
-  it('is offered where reports are missing or old', () => {
-    // Sidecars are slow or their datagrams get lost; the servers behind them stand empty.
+  it('is admitted where reports are missing or old', () => {
+    // Sidecars may be slow, or their datagrams lost, while the servers behind them are idle.
     expect(canAdmitStream({ ...input, reportAge: undefined })).toBe(true);
     expect(canAdmitStream({ ...input, reportAge: 1200 })).toBe(true);
   });
 
-  it('is looked at again with the next reports, and given up before its caller leaves', () => {
+  it('is checked again with the next reports, and refused before its caller leaves', () => {
     const wait = (isRetry: boolean, idleMilliseconds: number): number =>
       planRecheckDelay({
         route: STREAM_ROUTE,
--- a/packages/forwarding/src/plan-queue-admission.ts
+++ b/packages/forwarding/src/plan-queue-admission.ts
@@ -1,50 +1,57 @@
 /**
- * Whether a stream is offered to a server whose slots are taken, or its caller told to come back.
- * Made for the seconds after an outage and for bursts, in which more streams come than slots: the
- * streams that waited fill every slot at once, and each one that queues behind them makes all that
- * come later wait as long, for seconds in which the servers do more work than comes. A caller that
- * is told to come back is late too, but alone. Pure.
+ * Admission control for the queues of backend servers: decides whether a stream is sent to a server
+ * whose slots are taken, or its caller is told to retry. Intended for the seconds after an outage
+ * and for bursts, when more streams arrive than there are slots. The streams that waited fill every
+ * slot at once, and each stream that is queued behind them delays all later ones as much, for
+ * seconds in which the servers complete more than arrives. A caller that is told to retry is late
+ * as well, but delays nobody else. Pure.
  */
 import { Urgency, urgencyOf } from './plan-priority.js';
 import type { WaitingStream } from './plan-priority.js';
 import { callerPatienceMilliseconds, FIRST_EVENT_MILLISECONDS } from './plan-wait.js';
 
-/** Streams that may wait at a server, as a share of its slots, and still begin in time. */
+/** Streams that may be queued at a server and still start in time, as a share of its slots. */
 const FIRST_ATTEMPT_QUEUE_SHARE = 0.15;
-/** Callers that have come back do not come again: they may wait as long as they stay. */
+/**
+ * The same for retries. Their callers do not retry again, so they may be queued for as long as the
+ * callers wait.
+ */
 const RETRY_QUEUE_SHARE = 0.75;
 
-/** Share of a caller's patience that the first event may take elsewhere, by what is usual there. */
+/**
+ * Largest typical time to the first event at another server, as a share of the caller's remaining
+ * patience, at which a stream is moved there.
+ */
 const MOVED_PATIENCE_SHARE = 0.5;
 
 export interface QueueAdmissionInput extends WaitingStream {
   readonly slots: number;
-  /** Usual time of a first event there, in milliseconds; 0 when unknown. */
+  /** Typical time to the first event at the server, in milliseconds; 0 if unknown. */
   readonly typicalMilliseconds: number;
-  /** Streams at the server, with what other entries may have sent since it reported. */
+  /** Streams at the server, including those that other entries may have sent since its report. */
   readonly expectedStreams: number;
-  /** Age of that report in milliseconds; undefined where there is none. */
+  /** Age of that report in milliseconds; undefined without one. */
   readonly reportAge: number | undefined;
 }
 
 /**
- * Reports older than this say too little: what others may have sent since is a guess that grows
- * with every own request, and callers would be told to come back while servers stand empty. Two
- * reports of a large group, so that a lost one changes nothing.
+ * Older reports are ignored. What other entries may have sent since is an estimate that grows with
+ * every request of this entry, and callers would be told to retry while servers are idle. Covers
+ * two reports of a large group, so that one lost report has no effect.
  */
 const MAXIMUM_REPORT_AGE_MILLISECONDS = 700;
 
-/** Streams that a server may have with this one, as a multiple of its slots. */
+/** Streams that a server may hold, this one included, as a multiple of its slots. */
 function planMaximumOccupancy(input: QueueAdmissionInput): number {
   const urgency = urgencyOf(input);
   switch (urgency) {
     case Urgency.Begun:
-      // Elsewhere it would begin anew, so any place in a queue is better than none.
+      // Elsewhere it would start over, so any position in the queue is better than none.
       return Infinity;
     case Urgency.Moved: {
       const patience = callerPatienceMilliseconds(input.route) - input.idleMilliseconds;
       if (input.typicalMilliseconds > patience * MOVED_PATIENCE_SHARE) return 0;
-      // It is served before those that wait there.
+      // It has priority over the streams that are queued there.
       return 1 + RETRY_QUEUE_SHARE;
     }
     case Urgency.Fresh:
@@ -62,7 +69,7 @@
   }
 }
 
-/** Whether the server can begin the stream in time for its caller, as far as this entry knows. */
+/** Whether the server can start the stream in time for its caller, as far as this entry knows. */
 export function canAdmitStream(input: QueueAdmissionInput): boolean {
   const { reportAge } = input;
   const share = planMaximumOccupancy(input);
@@ -71,9 +78,9 @@
   return input.expectedStreams + 1 <= input.slots * share;
 }
 
-/** Time after which reports tell of room that they did not show before. */
+/** Time after which new reports show slots that have become free. */
 const RECHECK_MILLISECONDS = 170;
-/** A caller at its first try is kept for two reports; then its place is free for the next one. */
+/** A first attempt is held for two reports, and then gives way to the next caller. */
 const FIRST_ATTEMPT_MAXIMUM_MILLISECONDS = 300;
 
 export type RecheckDelayInput = Pick<
@@ -83,7 +90,7 @@
   readonly remainingMilliseconds: number;
 };
 
-/** Milliseconds until the servers are looked at again; 0 when the stream is to be refused now. */
+/** Milliseconds until the servers are checked again; 0 if the stream is to be refused now. */
 export function planRecheckDelay(input: RecheckDelayInput): number {
   const { idleMilliseconds: idle, remainingMilliseconds: remaining } = input;
   const patience = Math.min(callerPatienceMilliseconds(input.route) - idle, remaining);
--- a/packages/forwarding/src/plan-retry-after.test.ts
+++ b/packages/forwarding/src/plan-retry-after.test.ts
@@ -14,16 +14,16 @@
 });
 
 it('spreads callers that are refused together', () => {
-  // Every slot is taken and a hundred streams are refused in the same moment. Told the same time
-  // they would come back together and be refused together.
+  // A hundred streams are refused at the same moment because every slot is taken. With equal times
+  // they would all retry, and be refused, together.
   const late = retryAfter(RefusalCause.Crowded, 8000, 0);
   const early = retryAfter(RefusalCause.Crowded, 8000, 0.999);
   expect(late - early).toBeGreaterThan(800);
 });
 
-it('spreads callers of a broken group over the time for which they waited, and beyond it', () => {
-  // A group breaks. Streams that were sent in the second and a half before anybody knew are refused
-  // in the same moment, each with another rest of its time.
+it('spreads callers of a broken group over the time they have waited, and beyond it', () => {
+  // Streams that were sent in the second and a half before a broken group is detected are refused
+  // at the same moment, each with a different time left.
   const remaining = [6500, 7000, 7500, 8000];
   const times = remaining.map((one) => retryAfter(RefusalCause.GroupBroken, one, 0));
   expect(Math.max(...times) - Math.min(...times)).toBeGreaterThan(400);
@@ -38,7 +38,7 @@
   expect(likely(0.999)).toBeGreaterThan(2000);
 });
 
-it('sends callers away until a backoff is over, and spreads them behind it', () => {
+it('tells callers to retry after the end of a backoff, spread over time', () => {
   const planned = (random: number): number =>
     planRetryAfter({
       cause: RefusalCause.BackingOff,
@@ -50,9 +50,10 @@
   expect(planned(0.999)).toBeGreaterThan(2000);
 });
 
-it('sends callers away for as long as an outage takes once a group has fallen silent', () => {
-  // A zone is cut off. For a second and a half nobody tells that the group stands still, connections
-  // to the other zones fail, and callers that are told to come back in a second come back in vain.
+it('tells callers to wait as long as an outage takes once a group has gone silent', () => {
+  // For a second and a half after a zone is disconnected nothing reports that the group is stopped.
+  // Connections to the other zones fail, and callers that are told to retry in a second do so in
+  // vain.
   const short = retryAfter(RefusalCause.BudgetSpent, 8000, 0.5);
   const cause = planRefusalCause(RefusalCause.BudgetSpent, true);
   expect(retryAfter(cause, 8000, 0.5)).toBeGreaterThan(1.8 * short);
--- a/packages/forwarding/src/plan-retry-after.ts
+++ b/packages/forwarding/src/plan-retry-after.ts
@@ -1,31 +1,32 @@
 /**
- * When a refused caller should come back. Callers wait as told, up to a third of the time they
- * have left, and come back once; a time that is too short spends that one try, and equal times
- * bring them all back together. Pure.
+ * Computes the time after which a refused caller should retry. Callers wait as told, up to a third
+ * of the time they have left, and retry once: a time that is too short wastes that retry, and equal
+ * times make all callers retry together. Pure.
  */
 export enum RefusalCause {
-  /** This entry does not know the configuration yet. */
+  /** This entry has not received the configuration yet. */
   NoConfiguration = 'noConfiguration',
   /** No backend server of the service is known or reachable. */
   NoServer = 'noServer',
   /** Every server that could be tried is full. */
   Full = 'full',
-  /** Every slot is taken, and whoever waited for one would be late. */
+  /** Every slot is taken, and a queued request would be late. */
   Crowded = 'crowded',
-  /** Every server that could be tried has asked to be sent nothing for a while. */
+  /** Every server that could be tried has requested a backoff. */
   BackingOff = 'backingOff',
-  /** The lock-step group is broken and forms anew. */
+  /** The lock-step group is broken and being re-formed. */
   GroupBroken = 'groupBroken',
-  /** Repeating it now would exceed the retry budget. */
+  /** Sending the request again would exceed the retry budget. */
   BudgetSpent = 'budgetSpent',
-  /** The time was up before it could be sent. */
+  /** The request expired before it could be sent. */
   Expired = 'expired',
 }
 
 /**
- * The cause that a caller's return is planned for. A lock-step group that is cut in two stands still
- * for a while before its engines tell; until then connections fail and queues are full. Whoever is
- * told to come back as for these comes back into the same outage and is lost.
+ * Returns the cause that the retry is planned for. A lock-step group that is split by a network
+ * failure is stopped for a while before its engines report it; until then connections fail and
+ * queues are full. A caller that is told to retry as for these would retry during the same outage
+ * and be lost.
  */
 export function planRefusalCause(cause: RefusalCause, hasGroupStopped: boolean): RefusalCause {
   switch (cause) {
@@ -46,19 +47,19 @@
   }
 }
 
-/** Time after which each cause has usually passed, in milliseconds. */
+/** Time after which each cause has typically passed, in milliseconds. */
 const TYPICAL_MILLISECONDS: Readonly<Record<RefusalCause, number>> = {
   // The first read of the store takes two round trips.
   [RefusalCause.NoConfiguration]: 400,
   // A replaced server is listed within a heartbeat.
   [RefusalCause.NoServer]: 1500,
-  // Answers last one to two seconds, so that a queue moves on in that time.
+  // Answers take one to two seconds, so a queue advances in that time.
   [RefusalCause.Full]: 1200,
-  // A crowd after an outage is gone in two to six seconds; callers come back once, so rather late.
+  // The backlog after an outage is gone in two to six seconds; callers retry once, so rather late.
   [RefusalCause.Crowded]: 2400,
-  // Where a server does not tell.
+  // Used if the server states no time.
   [RefusalCause.BackingOff]: 2400,
-  // Until outages were seen that tell better.
+  // Used until recorded outages give a better estimate.
   [RefusalCause.GroupBroken]: 2900,
   [RefusalCause.BudgetSpent]: 1200,
   [RefusalCause.Expired]: 0,
@@ -66,7 +67,7 @@
 
 /** Callers wait no longer than this share of the time they have left. */
 const MAXIMUM_SHARE = 1 / 3;
-/** Share by which times differ at random, so that callers do not come back together. */
+/** Random share by which times differ, so that callers do not retry together. */
 const JITTER = 0.35;
 
 export interface RetryAfterInput {
@@ -74,17 +75,17 @@
   readonly remainingMilliseconds: number;
   /** Uniform in [0, 1). */
   readonly random: number;
-  /** Within which a group is likely to run again, or a backoff is over. */
+  /** Milliseconds within which a group is likely to run again, or a backoff ends, if known. */
   readonly likelyMilliseconds?: number | undefined;
 }
 
-/** Milliseconds. */
+/** Time after which the caller should retry, in milliseconds. */
 export function planRetryAfter(input: RetryAfterInput): number {
   const { cause, remainingMilliseconds, random, likelyMilliseconds } = input;
   const longest = remainingMilliseconds * MAXIMUM_SHARE;
   const expectedMilliseconds = likelyMilliseconds ?? TYPICAL_MILLISECONDS[cause];
-  // Whoever comes back while the group still stands, or within the backoff, comes in vain, so rather
-  // later than sooner; other causes pass little by little.
+  // A retry while the group is still stopped, or during the backoff, is wasted, so the jitter is
+  // added; other causes pass gradually, so it is subtracted.
   const isJitterAdded = cause === RefusalCause.GroupBroken || cause === RefusalCause.BackingOff;
   return Math.floor(
     isJitterAdded
--- a/packages/forwarding/src/plan-wait.test.ts
+++ b/packages/forwarding/src/plan-wait.test.ts
@@ -20,23 +20,23 @@
   });
 }
 
-it('keeps a stream only as long as its first event can still reach the caller', () => {
-  // Callers leave after two seconds without an event. A stream that is kept until then is lost
-  // without a word; told before, its caller comes back.
+it('holds a stream only as long as its first event can still reach the caller', () => {
+  // Callers leave after two seconds without an event. A stream that is held until then is lost;
+  // refused before, its caller retries.
   expect(wait(0)).toBe(1600);
   expect(wait(1600)).toBe(0);
   expect(wait(0, 700)).toBe(300);
 });
 
-it('keeps a stream that has begun to the last moment', () => {
+it('holds a started stream until the last moment', () => {
   expect(wait(1600, 8000, { hasBegun: true })).toBe(300);
   expect(wait(1900, 8000, { hasBegun: true })).toBe(0);
 });
 
-it('sends callers away at once while the group is not likely to be back in time', () => {
-  // A rank was cut off a moment ago, in a deployment where that lasts for many seconds. A caller
-  // that is kept for most of two seconds and refused then has waited in vain; one that is told at
-  // once can act, or comes back when it is worth it.
+it('refuses callers at once while the group is not likely to recover in time', () => {
+  // A rank was just disconnected, in a deployment where that lasts for many seconds. A caller that
+  // is held for most of two seconds and then refused has waited in vain; one that is refused at
+  // once can react, or retry when it is worth it.
   const chance = (chanceOfReturn: number, fields: Partial<GroupWaitInput> = {}): number =>
     wait(0, 8000, { chanceOfReturn: () => chanceOfReturn, ...fields });
   const first = { isRetry: false };
@@ -47,7 +47,7 @@
   expect(chance(0.05, { ...first, hasBegun: true })).toBe(1900);
 });
 
-it('asks for the chance within the time for which the caller stays', () => {
+it('uses the probability within the time for which the caller waits', () => {
   const asked: number[] = [];
   wait(300, 8000, {
     chanceOfReturn(within) {
@@ -58,12 +58,12 @@
   expect(asked).toEqual([1300]);
 });
 
-it('goes by the longest of the times for which callers stay', () => {
+it('uses the longest of the times for which callers wait', () => {
   expect(callerPatienceMilliseconds({ ...STREAM_ROUTE, objectiveMilliseconds: 900 })).toBe(3600);
   expect(callerPatienceMilliseconds({ ...STREAM_ROUTE, gapMilliseconds: 400 })).toBe(3200);
 });
 
-it('waits for room at a server that comes soon, and refuses where it comes late', () => {
+it('waits for a server that takes the stream soon, and refuses if it takes it late', () => {
   const room = (
     roomInMilliseconds: number,
     idleMilliseconds = 0,
@@ -80,13 +80,13 @@
   expect(room(200)).toBe(200);
   expect(room(900)).toBe(0);
   expect(room(Infinity)).toBe(0);
-  // A caller that has waited already is not kept for another turn.
+  // A caller that has already waited is not held again.
   expect(room(300, 400)).toBe(0);
-  // Nor is one that would be gone before its first event.
+  // Nor is one that would leave before its first event.
   expect(room(300, 0, 600)).toBe(0);
-  // After an outage all callers of some seconds come back at once. One of them has waited for
-  // half a second for a slot when the shares are used up; there is room in 0.6 s, it would stay
-  // for 1.4 s more, and it does not come back again.
+  // After an outage the callers of some seconds retry at once. One of them has waited for half a
+  // second for a slot when the shares are used up; a server takes it in 0.6 s, it would wait 1.4 s
+  // more, and it does not retry again.
   expect(room(640, 540, 3500, true)).toBe(640);
   expect(room(1100, 540, 3500, true)).toBe(0);
   expect(room(640, 540, 800, true)).toBe(0);
--- a/packages/forwarding/src/plan-wait.ts
+++ b/packages/forwarding/src/plan-wait.ts
@@ -1,30 +1,41 @@
 /**
- * How long a stream is kept for a lock-step group that forms anew. Made for outages of seconds,
- * in which no backend server of the service can run anything: a caller comes back once after a
- * refusal, so one that is refused twice is lost, while one that is kept is served with the
- * first pass. Pure.
+ * Computes how long a stream is held for a lock-step group that is re-formed, or for a server that
+ * takes no request at the moment. Intended for outages of seconds, in which no backend server of
+ * the service can run anything: a caller retries once after a refusal, so one that is refused twice
+ * is lost, while one that is held is served with the first pass. Pure.
  */
 import type { Route } from '@lapisbridge/catalog';
 
 import { planReplyMargin } from './reply-margin.js';
 
-/** Callers leave a stream after the longest of a time, some objectives and some pauses. */
+/**
+ * Callers leave a stream after the longest of three times: this one, a number of latency
+ * objectives, and a number of target gaps between events.
+ */
 const MINIMUM_PATIENCE_MILLISECONDS = 2000;
 const PATIENCE_OBJECTIVES = 4;
 const PATIENCE_GAPS = 8;
-/** From a send to the first event where many are sent at once, as when a group is back. */
+/**
+ * Time from sending to the first event when many streams are sent at once, as when a group has
+ * recovered.
+ */
 export const FIRST_EVENT_MILLISECONDS = 400;
-/** A started stream can only be saved or broken off, so the last moment is used as well. */
+/**
+ * Time to the next event of a started stream. It can only be resumed or aborted, so it is held
+ * until the last moment.
+ */
 const NEXT_EVENT_MILLISECONDS = 100;
 
 /**
- * Chance of being served from which callers are kept that have come back. They do not come again and
- * are lost when refused; but to wait for nothing, and to be told then, is worse than to be told at once.
+ * Lowest probability of being served at which a retry is held. Its caller does not retry again and
+ * is lost when refused; but to wait in vain and be refused then is worse than to be refused at
+ * once.
  */
 const RETRY_MINIMUM_CHANCE = 1 / 3;
-/** The same for callers at their first try, who can come back at a time that is as good. */
+/** The same for first attempts, whose callers can retry at a time that is as good. */
 const FIRST_ATTEMPT_MINIMUM_CHANCE = 1 / 2;
 
+/** How long a caller of the route waits for an event before it leaves. */
 export function callerPatienceMilliseconds(route: Route): number {
   return Math.max(
     MINIMUM_PATIENCE_MILLISECONDS,
@@ -35,7 +46,7 @@
 
 /**
  * Longest time without an event after which a stream is ended, in milliseconds. Its caller would
- * leave next, and a request that lies at a server which has stopped then runs for nobody.
+ * leave next, and a request at a server that has stopped would then run for nobody.
  */
 export function planEventTimeout(route: Route): number {
   const patience = callerPatienceMilliseconds(route);
@@ -43,27 +54,27 @@
 }
 
 /**
- * Longest wait of a caller at its first try for a server's cold-start share, in milliseconds. One
- * that waits longer gets its first event late, and may as well come back when there is room.
+ * Longest time that a first attempt is held for a server's cold-start share, in milliseconds. After
+ * a longer one its first event is late, and its caller may as well retry when there is capacity.
  */
 const FIRST_ATTEMPT_MAXIMUM_WAIT_MILLISECONDS = 600;
 
 export interface RoomWaitInput {
   readonly route: Route;
-  /** Whether the caller was refused before, so that it will not come back. */
+  /** Whether the caller was refused before, so that it will not retry again. */
   readonly isRetry: boolean;
-  /** Since the request arrived, or since its caller's last event. */
+  /** Time since the request arrived, or since its caller's last event. */
   readonly idleMilliseconds: number;
   readonly remainingMilliseconds: number;
-  /** Until the first server takes one more request. */
+  /** Time until the first server takes one more request. */
   readonly roomInMilliseconds: number;
 }
 
 /**
- * Milliseconds to wait for room at a server; 0 when the stream is to be refused at once. A
- * burst uses up an entry's shares of all servers while these stand half empty. Callers that have
- * come back are kept as long as they stay: refused once more they would be lost although there
- * is room within a second.
+ * Milliseconds to wait until a server takes one more request; 0 if the stream is to be refused at
+ * once. A burst uses up an entry's shares of all servers while the servers are half empty. Retries
+ * are held for as long as their callers wait: refused once more they would be lost although a
+ * server takes them within a second.
  */
 export function planRoomWait(input: RoomWaitInput): number {
   const { route, isRetry, idleMilliseconds, remainingMilliseconds } = input;
@@ -80,18 +91,18 @@
 
 export interface GroupWaitInput {
   readonly route: Route;
-  /** Since the request arrived, or since its caller's last event. */
+  /** Time since the request arrived, or since its caller's last event. */
   readonly idleMilliseconds: number;
   readonly remainingMilliseconds: number;
-  /** Whether the caller has had events. */
+  /** Whether the caller has received events. */
   readonly hasBegun: boolean;
-  /** Whether the caller was refused before, so that it will not come back. */
+  /** Whether the caller was refused before, so that it will not retry again. */
   readonly isRetry: boolean;
-  /** Chance that the group runs again within so many milliseconds. */
+  /** Probability that the group runs again within so many milliseconds. */
   chanceOfReturn(withinMilliseconds: number): number;
 }
 
-/** Milliseconds for which the stream may still be kept; 0 when it has to be given up now. */
+/** Milliseconds for which the stream may still be held; 0 if it has to be refused now. */
 export function planGroupWait(input: GroupWaitInput): number {
   const neededMilliseconds = input.hasBegun ? NEXT_EVENT_MILLISECONDS : FIRST_EVENT_MILLISECONDS;
   const patience = callerPatienceMilliseconds(input.route) - input.idleMilliseconds;
--- a/packages/forwarding/src/retry-detector.test.ts
+++ b/packages/forwarding/src/retry-detector.test.ts
@@ -2,7 +2,7 @@
 
 import { createRetryDetector } from './retry-detector.js';
 
-it('knows a caller that comes back by the time it has left', () => {
+it('detects a retry by the time that the caller has left', () => {
   const detector = createRetryDetector();
   expect(detector.isRetry('draft', 8000)).toBe(false);
   expect(detector.isRetry('draft', 7990)).toBe(false);
@@ -11,7 +11,7 @@
   expect(detector.isRetry('draft', undefined)).toBe(false);
 });
 
-it('learns from the first caller with all its time after a restart', () => {
+it('learns the full time of a route from the first new caller after a restart', () => {
   const detector = createRetryDetector();
   expect(detector.isRetry('draft', 5400)).toBe(false);
   expect(detector.isRetry('draft', 8000)).toBe(false);
--- a/packages/forwarding/src/retry-detector.ts
+++ b/packages/forwarding/src/retry-detector.ts
@@ -1,15 +1,20 @@
 /**
- * Tells callers that come back after a refusal by the time they have left. Callers of a route
- * start with much the same time; one that was told to come back has lost a good part of it.
+ * Detects retries by the time that the caller has left. Callers of a route start with about the
+ * same time, and one that was told to retry has lost a good part of it.
  */
 export interface RetryDetector {
-  /** Notes the time that a caller of the route has left; true when it has come back. */
+  /** Records the time that a caller of the route has left; true if the request is a retry. */
   isRetry(route: string, patienceMilliseconds: number | undefined): boolean;
 }
 
-/** A first try arrives with all of its time; a refusal takes up to a third, and rarely a tenth. */
+/**
+ * A first attempt arrives with all of its time; a refusal takes up to a third, rarely only a tenth.
+ */
 const RETRY_REMAINING_SHARE = 0.85;
-/** Routes remembered; beyond it all are learned anew, so that dropped ones do not pile up. */
+/**
+ * Maximum number of routes kept. Beyond it all are cleared and learned again, so that removed
+ * routes do not accumulate.
+ */
 const MAXIMUM_ROUTES = 4000;
 
 export function createRetryDetector(): RetryDetector {
--- a/packages/forwarding/src/simulate-outage.test.ts
+++ b/packages/forwarding/src/simulate-outage.test.ts
@@ -6,7 +6,7 @@
 
 const SEEDS = [1, 2, 3, 4, 5];
 
-/** A day at 58% of what the servers can do, with one outage; summed over several seeds. */
+/** Sums the results of several seeds, each with one outage at 58% of the servers' capacity. */
 function simulateSeeds(
   durationMilliseconds: number,
   fields: Partial<OutageScenario> = {},
@@ -28,24 +28,26 @@
 }
 
 it.each([1500, 2500, 3500, 4500, 6000, 7500])(
-  'serves every caller that could be reached in an outage of %i ms',
+  'serves every caller that could be served in an outage of %i ms',
   (durationMilliseconds) => {
-    // A rank restarts and its group stands still for some seconds. Callers come back once. Whoever
-    // asks so late that his return and his stay reach beyond the outage must not be refused twice.
+    // A rank restarts, and its group is stopped for some seconds. Callers retry once. Those that
+    // arrive so late that their retry and their waiting time extend beyond the outage must not be
+    // refused twice.
     expect(simulateSeeds(durationMilliseconds).avoidablyLost).toBe(0);
   },
 );
 
-it('serves callers whose answer broke off where outages are known to be short', () => {
-  // Their answers stop in the middle, and they ask for the rest at once, which is the one return
-  // they have. The group is back within two seconds of that: refused at once they would all be
-  // lost, as many as the servers had in hand.
+it('serves callers whose answer was interrupted where outages are known to be short', () => {
+  // Callers of interrupted answers ask for the rest at once, which is their only retry. The group
+  // recovers within two seconds of that: refused at once they would all be lost, as many as the
+  // servers were running.
   expect(countLost(simulateSeeds(2500, { pastOutagesMilliseconds: [800, 1000] }))).toBe(0);
 });
 
-it('has callers in time again sooner than first come, first served', () => {
-  // The streams that waited fill every slot, and whoever comes next waits behind them. The servers
-  // do more than comes, so the queue shrinks slowly, and every caller is late until then.
+it('answers callers in time again sooner than in order of arrival', () => {
+  // In order of arrival, the streams that waited fill every slot, and later ones are queued behind
+  // them. The servers complete more than arrives, so the queue shrinks slowly, and every caller is
+  // late until then.
   const before = simulateSeeds(4500, { callersPerSecond: 58, isFirstComeFirstServed: true });
   const after = simulateSeeds(4500, { callersPerSecond: 58 });
   expect(after.ends[CallerEnd.InTime]).toBeGreaterThan(1.4 * before.ends[CallerEnd.InTime]);
--- a/packages/forwarding/src/simulate-outage.ts
+++ b/packages/forwarding/src/simulate-outage.ts
@@ -1,8 +1,9 @@
 /**
- * Plays callers against the decisions on streams while a lock-step group stands still and after it
- * is back, in simulated time, for tests: what each caller gets is counted, so that a change of the
- * decisions can be judged without a network. Callers stay for two seconds without an event, come
- * back once after a refusal, and wait as told up to a third of the time they have left.
+ * Discrete-time simulation of callers, and of the decisions on their streams, while a lock-step
+ * group is stopped and after it has recovered, for tests. It counts what each caller gets, so that
+ * a change of the decisions can be evaluated without a network. Callers wait for two seconds
+ * without an event, retry once after a refusal, and wait as told up to a third of the time they
+ * have left.
  */
 import { createRandom } from '@lapisbridge/kernel';
 import type { Random } from '@lapisbridge/kernel';
@@ -22,15 +23,15 @@
 
 export interface OutageScenario {
   readonly seed: number;
-  /** Callers a second. */
+  /** Arrival rate of callers. */
   readonly callersPerSecond: number;
-  /** Slots of all servers together. */
+  /** Total number of slots of all servers. */
   readonly slots: number;
-  /** How long the group stands still, in milliseconds. */
+  /** Duration of the outage. */
   readonly durationMilliseconds: number;
-  /** How long outages lasted that the entry has seen before, in milliseconds. */
+  /** Durations of the outages that the entry has recorded before. */
   readonly pastOutagesMilliseconds?: readonly number[];
-  /** Every stream is offered at once and served in the order of arrival: what the decisions are judged by. */
+  /** Baseline for the decisions: every stream is sent at once and served in order of arrival. */
   readonly isFirstComeFirstServed?: boolean;
 }
 
@@ -39,24 +40,24 @@
   asked: number;
   readonly ends: Record<CallerEnd, number>;
   /**
-   * Lost callers that could have been reached: told at once to come back as late as they do, they
-   * would still have been there when the group was back.
+   * Lost callers that could have been served: told at once to retry as late as callers do, they
+   * would still have been waiting when the group recovered.
    */
   avoidablyLost: number;
 }
 
 const BREAK_AT_MILLISECONDS = 5000;
-/** Engines tell of the break only when their own stall has run out. */
+/** Engines report the failure only after their own stall timeout. */
 const DETECTION_MILLISECONDS = 1500;
 const ARRIVALS_END_MILLISECONDS = 20_000;
 const END_MILLISECONDS = 45_000;
 const STEP_MILLISECONDS = 10;
 const PREFILL_MILLISECONDS = 160;
 const MEAN_STREAM_MILLISECONDS = 1250;
-/** Passes take so many times as long until a balanced map is in force. */
+/** Factor by which passes are slower until a balanced map is in force. */
 const UNBALANCED_MAP_FACTOR = 2.5;
 const UNBALANCED_MAP_MILLISECONDS = 500;
-/** A caller with less time left than this share has been refused before. */
+/** A caller with less than this share of its time left has been refused before. */
 const RETRY_REMAINING_SHARE = 0.85;
 /** Callers wait no longer than this share of the time they have left. */
 const MAXIMUM_RETRY_AFTER_SHARE = 1 / 3;
@@ -133,7 +134,7 @@
     scheduleRetry(caller, now + retryAfter);
   }
 
-  /** The entry decides on a caller that is at no server. */
+  /** Decision of the entry on a caller that is not at any server. */
   function decide(caller: SimulatedCaller, now: number): void {
     const remainingMilliseconds = caller.firstAt + DEADLINE_MILLISECONDS - now;
     const situation = {
@@ -241,7 +242,7 @@
       nextArrival += (-Math.log(1 - random()) * 1000) / callersPerSecond;
     }
     if (now === BREAK_AT_MILLISECONDS) breakGroup();
-    // What is sent while the break is not known stalls until the engines tell.
+    // Requests sent before the failure is detected stall until the engines report it.
     const isUndetected = now >= BREAK_AT_MILLISECONDS && now < detectedAt;
     for (const caller of callers) {
       if (caller.isOver || caller.queuedAt !== undefined || caller.nextAt > now) continue;
--- a/packages/forwarding/src/simulated-caller.ts
+++ b/packages/forwarding/src/simulated-caller.ts
@@ -1,39 +1,39 @@
 /**
- * A caller of a played load, and what callers got in the end.
+ * A simulated caller, and the outcomes that it can have.
  */
 import { STREAM_ROUTE } from './stream-route-fixture.js';
 
-/** How a played caller ended. */
+/** How a simulated caller ended. */
 export enum CallerEnd {
   InTime = 'inTime',
   Late = 'late',
-  /** Refused once more after having come back. */
+  /** Refused again after its retry. */
   RefusedAgain = 'refusedAgain',
-  /** Left without an event after having been kept or queued. */
+  /** Left without an event after being held or queued. */
   TimedOut = 'keptInVain',
-  /** Had the begin of an answer, and never got the rest. */
+  /** Received the start of an answer, but not the rest. */
   CutOff = 'cutOff',
 }
 
 export interface SimulatedCaller {
-  /** Points in time are milliseconds of the play. */
+  /** Time of arrival. All points in time are milliseconds of the simulation. */
   readonly firstAt: number;
-  /** How long the answer takes once it has begun, in milliseconds. */
+  /** Duration of the answer once it has started. */
   readonly serviceMilliseconds: number;
   attemptAt: number;
   isRetry: boolean;
-  /** When the entry looks at it again. */
+  /** When the entry decides on it next. */
   nextAt: number;
   /** Undefined until it is queued at a server. */
   queuedAt: number | undefined;
-  /** Work left, once it runs. */
+  /** Remaining time at the server; undefined until it runs. */
   remainingServiceMilliseconds: number | undefined;
-  /** At the server; 0 is served first. */
+  /** Priority in the server's queue; 0 is served first. */
   priority: number;
   hasEvent: boolean;
-  /** Its first event came as soon as hoped for, from passes that were not slow. */
+  /** Its first event met the latency objective, and came from passes that were not slow. */
   isOnTime: boolean;
-  /** Had the begin of an answer when the group broke, so that its one return is spent. */
+  /** Its answer had started when the group broke, so that its only retry is used. */
   wasInterrupted: boolean;
   isOver: boolean;
 }
--- a/packages/forwarding/src/stall-watch.ts
+++ b/packages/forwarding/src/stall-watch.ts
@@ -1,13 +1,13 @@
 /**
- * Ends an attempt at a server that is silent while others of its service are not: its process or
- * its network has stopped, and the stream can go on elsewhere before the caller leaves.
+ * Cancels an attempt at a server that is silent while others of its service are not: its process or
+ * its network has failed, and the stream can continue elsewhere before the caller leaves.
  */
 import type { BackendServer } from '@lapisbridge/catalog';
 
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
 import type { StreamAttempt, StreamEnd } from './stream-attempt.js';
 
-/** Silence after which a server is looked at; callers leave after two seconds. */
+/** Silence after which a server is checked; callers leave after two seconds. */
 const SILENCE_MILLISECONDS = 1000;
 const CHECK_MILLISECONDS = 200;
 
@@ -18,24 +18,24 @@
   readonly attempt: StreamAttempt;
   /** Milliseconds since the request arrived, or since its caller's last event. */
   idleMilliseconds(): number;
-  /** Whether the stream could go on at another server. */
+  /** Whether the stream could continue at another server. */
   mayContinue(): boolean;
 }
 
 function isStalled({ context, accepted, server, idleMilliseconds }: StallWatchOptions): boolean {
   const isSilent = context.liveness.isSilent(server);
-  // A stream that has not begun loses only its place in a queue that does not move.
+  // A stream that has not started loses only its position in a queue that does not advance.
   if (isSilent && !accepted.answer.hasBegun) return true;
   if (idleMilliseconds() < SILENCE_MILLISECONDS) return false;
   if (isSilent) return true;
-  // Where requests wait their turn, silence is no sign of a fault, and whoever is sent to the end
-  // of another queue loses the place that it has.
+  // While requests are queued, silence does not indicate a fault, and a stream that is moved to the
+  // end of another queue loses its position.
   const isWaiting = !accepted.answer.hasBegun && context.ledger.isQueueing(server.instanceId);
   if (isWaiting) return false;
   return context.pulse.isStalled(accepted.service, server.instanceId, SILENCE_MILLISECONDS);
 }
 
-/** Resolves with the end of the attempt. */
+/** Watches the attempt until it ends, and resolves with its end. */
 export async function watchForStall(options: StallWatchOptions): Promise<StreamEnd> {
   const { attempt } = options;
   const timer = setInterval(() => {
