--- a/packages/forwarding/src/backoff.test.ts
+++ b/packages/forwarding/src/backoff.test.ts
@@ -1,5 +1,5 @@
 /**
- * Requests while one of their backend servers has asked for a backoff.
+ * Forwarding while a backend server has requested a backoff.
  */
 import { RequestKind } from '@lapisbridge/catalog';
 import { afterEach, expect, it } from 'vitest';
@@ -19,7 +19,7 @@
 
 afterEach(() => fixture.close());
 
-/** Refuses the request and asks for so many seconds without others. */
+/** Refuses the request and requests a backoff of so many seconds. */
 function refuseWithRetryAfter(seconds: number): Script {
   return (incoming, response) => {
     response.writeHead(503, {
@@ -44,8 +44,8 @@
   ['streams', RequestKind.Streaming],
   ['at-most-once requests', RequestKind.AtMostOnce],
   ['idempotent requests', RequestKind.Idempotent],
-])('sends no %s to a server that backs off, and all to others', async (_, kind) => {
-  // Guards against entries that go on sending to a server that has asked for rest.
+])('sends no %s to a server that backs off, but all to other servers', async (_, kind) => {
+  // Guards against sending further requests to a server that has requested a backoff.
   const serve = kind === RequestKind.Streaming ? streamEvents(2) : answerWith('answer');
   fixture = await startFixture({
     servers: { backingOff: refuseWithRetryAfter(30), other: slowly(serve) },
@@ -57,7 +57,7 @@
   expect(requestCountAt('backingOff')).toBe(1);
 });
 
-/** Treats the first request in one way and all others in another. */
+/** Handles the first request with one script and all later ones with another. */
 function firstThen(first: Script, later: Script): Script {
   let isFirst = true;
   return (incoming, response) => {
@@ -74,7 +74,7 @@
   ['hedge', RequestKind.Idempotent, answerWith('answer'), neverAnswer],
   ['resumed stream', RequestKind.Streaming, streamEvents(6), streamEvents(6, 3)],
 ])('sends no %s to a server that backs off', async (_, kind, serve, failure) => {
-  // Guards against ways of sending that pass the choice of a server by.
+  // Guards against ways of sending that bypass the choice of a server.
   fixture = await startFixture({
     servers: {
       backingOff: refuseWithRetryAfter(30),
@@ -94,7 +94,7 @@
 });
 
 it('sends to the server again when the backoff is over', async () => {
-  // Guards against servers that stay without work after a backoff.
+  // Guards against servers that get no requests after their backoff.
   fixture = await startFixture({
     servers: { one: refuseWithRetryAfter(0.3), other: slowly(answerWith('answer')) },
   });
@@ -106,8 +106,8 @@
   expect(requestCountAt('one')).toBe(2);
 });
 
-it('keeps a request where a backoff is over soon', async () => {
-  // Guards against callers that are told to come back later than they could be served.
+it('holds a request where a backoff ends soon', async () => {
+  // Guards against telling a caller to retry later than it could be served.
   fixture = await startFixture({
     servers: { one: firstThen(refuseWithRetryAfter(0.3), answerWith('answer')) },
     route: { kind: RequestKind.AtMostOnce, objectiveMilliseconds: 60_000 },
@@ -119,8 +119,8 @@
   expect(requestCountAt('one')).toBe(2);
 });
 
-it('refuses a request at once where every server backs off for long, and says until when', async () => {
-  // Guards against callers that come back within the backoff, or wait for nothing.
+it('refuses a request at once where every server backs off for long, and states until when', async () => {
+  // Guards against callers that retry during the backoff, or are held in vain.
   fixture = await startFixture({
     servers: { one: refuseWithRetryAfter(1.4), two: refuseWithRetryAfter(2) },
     route: { timeoutMilliseconds: 10_000 },
--- a/packages/forwarding/src/departure.test.ts
+++ b/packages/forwarding/src/departure.test.ts
@@ -1,5 +1,5 @@
 /**
- * Requests while one of their backend servers says that it leaves.
+ * Forwarding while a backend server states that it is leaving, that is, shutting down.
  */
 import { RequestKind } from '@lapisbridge/catalog';
 import { afterEach, expect, it } from 'vitest';
@@ -12,8 +12,8 @@
 
 afterEach(() => fixture.close());
 
-it('sends nothing more to a server that leaves, though it is listed as ready', async () => {
-  // Guards against requests that a leaving server is too late to serve.
+it('sends nothing more to a leaving server although it is listed as ready', async () => {
+  // Guards against requests that a leaving server can no longer serve.
   fixture = await startFixture({
     servers: { leaving: answerLeaving, other: answerWith('answer') },
     route: { kind: RequestKind.AtMostOnce },
@@ -24,8 +24,8 @@
   expect(toLeaving).toHaveLength(1);
 });
 
-it('refuses a request at once where every server leaves', async () => {
-  // Guards against callers that wait for servers that will not serve them.
+it('refuses a request at once where every server is leaving', async () => {
+  // Guards against holding callers for servers that will not serve them.
   fixture = await startFixture({ servers: { leaving: answerLeaving } });
   await sendRequest(fixture.port, 'first');
   const sentAt = performance.now();
--- a/packages/forwarding/src/rate-limit.test.ts
+++ b/packages/forwarding/src/rate-limit.test.ts
@@ -1,5 +1,5 @@
 /**
- * Requests while one of their backend servers states a rate limit.
+ * Forwarding while a backend server states a rate limit.
  */
 import { RequestKind } from '@lapisbridge/catalog';
 import { afterEach, expect, it } from 'vitest';
@@ -37,7 +37,7 @@
 ])(
   'sends a server no more %s than its rate limit allows, and the rest to others',
   async (_, kind) => {
-    // Guards against a server that is asked for more than it said it takes.
+    // Guards against sending a server more requests than the rate limit that it states.
     const isStream = kind === RequestKind.Streaming;
     fixture = await startFixture({
       servers: { limited: answerLimited(1, isStream), other: answerLimited(1000, isStream) },
@@ -50,13 +50,13 @@
     const seconds = (performance.now() - startedAt) / 1000;
     const toLimited = fixture.arrivals.filter(({ instanceId }) => instanceId === 'limited');
     expect(toLimited.length).toBeGreaterThan(0);
-    // One before the limit is known, and one at once after that.
+    // One request before the limit is known, and one at once after that.
     expect(toLimited.length).toBeLessThanOrEqual(2 + Math.ceil(seconds));
   },
 );
 
-it('tells a caller when to come back where every server has had what it takes', async () => {
-  // Guards against callers that are held until their deadline, or sent there all the same.
+it('tells a caller when to retry where the limits of all servers are used up', async () => {
+  // Guards against callers that are held until their deadline, or sent to the server regardless.
   fixture = await startFixture({
     servers: { one: answerLimited(0, false), two: refuseAll },
     route: { kind: RequestKind.AtMostOnce },
@@ -71,8 +71,8 @@
   expect(fixture.arrivals.filter(({ instanceId }) => instanceId === 'one').length).toBeLessThan(4);
 });
 
-it('keeps a request for a server that has room again soon', async () => {
-  // Guards against callers that are told to come back a second later than they could be served.
+it('holds a request for a server that soon takes one more', async () => {
+  // Guards against telling a caller to retry a second later than it could be served.
   fixture = await startFixture({
     servers: { one: answerLimited(1.9, false) },
     route: { kind: RequestKind.AtMostOnce, objectiveMilliseconds: 60_000 },
--- a/packages/forwarding/src/shedding-server.test.ts
+++ b/packages/forwarding/src/shedding-server.test.ts
@@ -1,5 +1,5 @@
 /**
- * Requests while one of their backend servers refuses everything, though it has slots free.
+ * Forwarding while a backend server refuses every request although it has free slots.
  */
 import { RequestKind } from '@lapisbridge/catalog';
 import { afterEach, expect, it } from 'vitest';
@@ -27,7 +27,7 @@
   ['at-most-once requests', RequestKind.AtMostOnce],
   ['idempotent requests', RequestKind.Idempotent],
 ])('sends most %s to servers that do not refuse them', async (_, kind) => {
-  // Guards against retry budgets spent on a server that sheds all load.
+  // Guards against spending the retry budget on a server that sheds all load.
   const serve = kind === RequestKind.Streaming ? streamEvents(2) : answerWith('answer');
   fixture = await startFixture({
     servers: { other: slowly(serve), shedding: shed },
--- a/packages/forwarding/src/silent-server.test.ts
+++ b/packages/forwarding/src/silent-server.test.ts
@@ -1,5 +1,5 @@
 /**
- * Streams at a backend server that gives no sign of life any more while others of its service do.
+ * Streams at a backend server that has gone silent while others of its service have not.
  */
 import { request } from 'node:http';
 
@@ -21,7 +21,7 @@
 const EVENTS = 6;
 const ALL_EVENTS = [1, 2, 3, 4, 5, 6].map((id) => `id: ${id}\ndata: ${id}\n\n`).join('');
 
-/** Makes some events and then nothing more. */
+/** Sends some events and then nothing more. */
 function sendEventsThenStall(count: number): Script {
   return (incoming, response) => {
     if (count === 0) return;
@@ -44,7 +44,7 @@
   });
 }
 
-/** The text that the caller of one stream has when it ends. */
+/** Sends one stream and resolves with the text that its caller has when it ends. */
 function stream(requestId: string): Promise<string> {
   return new Promise((resolve) => {
     let text = '';
@@ -73,7 +73,7 @@
   await fixture.close();
 });
 
-it('goes on elsewhere at once where it waits for its first event', async () => {
+it('continues elsewhere at once while it waits for its first event', async () => {
   await start(sendEventsThenStall(0), streamEvents(EVENTS));
   const began = performance.now();
   const answer = stream('waiting');
@@ -84,7 +84,7 @@
   expect(fixture.arrivals.map(({ instanceId }) => instanceId)).toEqual(['one', 'two']);
 });
 
-it('goes on elsewhere behind its last event, also while its service makes no events', async () => {
+it('continues elsewhere after its last event, also while its service sends no events', async () => {
   await start(sendEventsThenStall(3), streamEvents(EVENTS));
   const answer = stream('begun');
   await sleep(50);
@@ -96,20 +96,23 @@
 it.each([
   ['that waits', 0],
   ['that has begun', 3],
-])('ends a stream %s before its caller leaves where no server goes on', async (_what, events) => {
-  // Guards against streams that are moved, wait for a service that stands still, and are left.
-  await start(sendEventsThenStall(events), sendEventsThenStall(0));
-  const began = performance.now();
-  const answer = stream('late');
-  await sleep(50);
-  reporting.delete('one');
-  await answer;
-  expect(performance.now() - began).toBeLessThan(callerPatienceMilliseconds(STREAM_ROUTE));
-  expect(fixture.arrivals[0]?.instanceId).toBe('one');
-});
+])(
+  'ends a stream %s before its caller leaves where no server continues it',
+  async (_what, events) => {
+    // Guards against moving a stream and holding it for a stopped service until its caller leaves.
+    await start(sendEventsThenStall(events), sendEventsThenStall(0));
+    const began = performance.now();
+    const answer = stream('late');
+    await sleep(50);
+    reporting.delete('one');
+    await answer;
+    expect(performance.now() - began).toBeLessThan(callerPatienceMilliseconds(STREAM_ROUTE));
+    expect(fixture.arrivals[0]?.instanceId).toBe('one');
+  },
+);
 
-it('ends a stream before its caller leaves where its server stops after a long wait', async () => {
-  // Guards against streams that wait at one server for as long as their callers stay.
+it('ends a stream before its caller leaves if its server stops after a long wait', async () => {
+  // Guards against streams that wait at one server until their callers leave.
   await start(sendEventsThenStall(0), streamEvents(EVENTS));
   const began = performance.now();
   const answer = stream('long');
@@ -120,8 +123,8 @@
   expect(fixture.arrivals[0]?.instanceId).toBe('one');
 });
 
-it('leaves a stream that has begun to a server that reports, as long as its caller stays', async () => {
-  // Guards against answers that an entry breaks off although their server is there.
+it('leaves a started stream at a server that reports, for as long as its caller waits', async () => {
+  // Guards against aborting an answer although its server is up.
   const pausing: Script = (incoming, response) => {
     sendEventsThenStall(3)(incoming, response);
     setTimeout(
--- a/packages/forwarding/src/stalled-process.test.ts
+++ b/packages/forwarding/src/stalled-process.test.ts
@@ -1,3 +1,6 @@
+/**
+ * Forwarding by an entry whose event loop is blocked while it connects to a backend server.
+ */
 import { RequestKind } from '@lapisbridge/catalog';
 import { afterEach, expect, it } from 'vitest';
 
@@ -5,7 +8,7 @@
 import { answerWith, startFixture } from './forwarding-fixture.js';
 import type { Fixture } from './forwarding-fixture.js';
 
-/** Longer than a connection may take. */
+/** Longer than connecting may take. */
 const STALL_MILLISECONDS = 350;
 
 let fixture: Fixture;
@@ -17,8 +20,9 @@
   while (performance.now() < end);
 }
 
-it('uses a connection that was made while the process stood still', async () => {
-  // Guards against callers that are refused, with servers free, whenever an entry stalls.
+it('uses a connection that was established while the process was blocked', async () => {
+  // Guards against refusing callers, with servers free, whenever the event loop of an entry is
+  // blocked.
   fixture = await startFixture({
     servers: { one: answerWith('whole') },
     route: { kind: RequestKind.Idempotent, objectiveMilliseconds: 60_000 },
