--- a/packages/forwarding/src/arrival-meter.ts
+++ b/packages/forwarding/src/arrival-meter.ts
@@ -1,36 +1,39 @@
 /**
- * How many requests a second this entry takes for each service, of late. Callers are spread over
- * the entries by a hash, so the own rate tells roughly what the others take.
+ * Measures how many requests per second this entry receives for each service, as an exponentially
+ * decaying average. Callers are distributed over the entries by a hash, so the rate of this entry
+ * approximates that of every other.
  */
 export interface ArrivalMeter {
-  note(service: string): void;
-  perSecond(service: string): number;
+  recordArrival(service: string): void;
+  arrivalsPerSecond(service: string): number;
 }
 
-/** Age at which a request counts for about a third: a few seconds of a calm service. */
-const WINDOW_MILLISECONDS = 2000;
+/**
+ * Age at which a request counts for about a third (1/e): a few seconds of a service at low load.
+ */
+const DECAY_MILLISECONDS = 2000;
 
-interface Rate {
-  /** Decayed number of requests. */
+interface DecayedCount {
+  /** Number of requests, decayed until `at`. */
   count: number;
   at: number;
 }
 
 export function createArrivalMeter(now: () => number): ArrivalMeter {
-  const rates = new Map<string, Rate>();
+  const rates = new Map<string, DecayedCount>();
 
-  function countNow({ count, at }: Rate): number {
-    return count * Math.exp((at - now()) / WINDOW_MILLISECONDS);
+  function decayedCount({ count, at }: DecayedCount): number {
+    return count * Math.exp((at - now()) / DECAY_MILLISECONDS);
   }
 
   return {
-    note(service) {
+    recordArrival(service) {
       const rate = rates.get(service);
-      rates.set(service, { count: (rate === undefined ? 0 : countNow(rate)) + 1, at: now() });
+      rates.set(service, { count: (rate === undefined ? 0 : decayedCount(rate)) + 1, at: now() });
     },
-    perSecond(service) {
+    arrivalsPerSecond(service) {
       const rate = rates.get(service);
-      return rate === undefined ? 0 : (countNow(rate) * 1000) / WINDOW_MILLISECONDS;
+      return rate === undefined ? 0 : (decayedCount(rate) * 1000) / DECAY_MILLISECONDS;
     },
   };
 }
--- a/packages/forwarding/src/choose-server.ts
+++ b/packages/forwarding/src/choose-server.ts
@@ -22,7 +22,7 @@
   const byId = context.catalog.servers().servers;
   const views: ServerView[] = [];
   const coldRate = profile?.coldRequestsPerSecond ?? 0;
-  const senders = coldShare.senders(coldRate);
+  const senders = coldShare.senderCount(coldRate);
   let leaving = 0;
   for (const server of byId.values()) {
     if (server.service !== accepted.service || server.draining) continue;
@@ -32,14 +32,14 @@
       leaving += 1;
       continue;
     }
-    const coldRoom = coldShare.roomIn(server.instanceId, coldRate);
+    const coldRoom = coldShare.roomInMilliseconds(server.instanceId, coldRate);
     views.push(
       context.ledger.view(
         server,
         {
           roomInMilliseconds: Math.max(coldRoom, admission.roomInMilliseconds),
           backoffMilliseconds: admission.backoffMilliseconds,
-          brokenForMilliseconds: context.groupHealth.brokenFor(server),
+          brokenForMilliseconds: context.groupHealth.brokenForMilliseconds(server),
           isSilent: context.liveness.isSilent(server),
         },
         context.entries(),
@@ -63,7 +63,7 @@
     reports += 1;
   }
   if (reports === 0) return 0;
-  const others = context.arrivals.perSecond(service) * (context.entries() - 1);
+  const others = context.arrivals.arrivalsPerSecond(service) * (context.entries() - 1);
   return (others * (age / reports)) / 1000;
 }
 
--- a/packages/forwarding/src/group-health.ts
+++ b/packages/forwarding/src/group-health.ts
@@ -1,63 +1,71 @@
 /**
- * Which lock-step groups can run work now. All ranks of a group run each pass together, so one
- * rank that died or was cut off stops them all; a request sent meanwhile is refused, or hangs
- * until the engines notice. Sidecars tell first, a refusal tells when it names the cause, and
- * the list of servers tells last.
+ * Tracks which lock-step groups can run work. All ranks of a group run each pass together, so one
+ * rank that dies or is disconnected stops them all; a request sent meanwhile is refused, or hangs
+ * until the engines detect the failure. The state is learned from the reports of the sidecars
+ * first, then from refusals that name the cause, and last from the list of servers.
  */
 import type { BackendServer } from '@lapisbridge/catalog';
 import type { Logger } from '@lapisbridge/logger';
 
 import { createOutageForecast } from './outage-forecast.js';
 
-/** What one rank says of its group. */
+/** A rank's report on the state of its group. */
 export interface RankHealth {
   readonly group: string;
   readonly rank: number;
-  /** Rises each time the group forms anew. */
+  /** Incremented each time the group is re-formed. */
   readonly epoch: number;
   readonly isOpen: boolean;
 }
 
 export interface GroupHealth {
-  /** A rank's sidecar told this so many milliseconds ago. */
-  reported(health: RankHealth, ageMilliseconds?: number): void;
-  /** A backend server refused a request because its group cannot run work. */
-  refused(server: BackendServer): void;
-  /** For how long the server's group has stood still, in milliseconds; undefined while it runs. */
-  brokenFor(server: BackendServer): number | undefined;
-  /** Chance that a group that has stood still for so long runs again within the time. */
+  /** Records a report that a rank's sidecar made `ageMilliseconds` ago. */
+  recordReport(health: RankHealth, ageMilliseconds?: number): void;
+  /** Records that a backend server refused a request because its group cannot run work. */
+  recordRefusal(server: BackendServer): void;
+  /**
+   * How long the server's group has been stopped, in milliseconds: undefined while it runs,
+   * `Infinity` if the start of the outage is not known.
+   */
+  brokenForMilliseconds(server: BackendServer): number | undefined;
+  /**
+   * Probability, 0 to 1, that a group that has been stopped for `brokenForMilliseconds` runs again
+   * within `withinMilliseconds`.
+   */
   chanceOfReturn(brokenForMilliseconds: number, withinMilliseconds: number): number;
-  /** Milliseconds within which such a group is likely to run again. */
-  likelyReturn(brokenForMilliseconds: number): number;
-  /** Resolves when a group changes between open and broken. */
+  /**
+   * Milliseconds within which a group that has been stopped for this long is likely to run again.
+   */
+  likelyReturnMilliseconds(brokenForMilliseconds: number): number;
+  /** Resolves when any group changes between open and broken. */
   nextChange(): Promise<void>;
 }
 
-interface HeardRank {
+interface RankState {
   readonly epoch: number;
   readonly isOpen: boolean;
-  readonly at: number;
+  readonly reportedAt: number;
 }
 
 interface Group {
-  readonly ranks: Map<number, HeardRank>;
-  /** Undefined until a rank was heard. */
+  readonly ranks: Map<number, RankState>;
+  /** Undefined until a rank has reported. */
   isBroken: boolean | undefined;
   changedAt: number;
 }
 
-/** Word of a rank that was not repeated for this long decides nothing: nine beats of a sidecar. */
-const FRESH_MILLISECONDS = 1500;
+/** Older reports are ignored. Equals nine reporting intervals of a sidecar. */
+const MAXIMUM_REPORT_AGE_MILLISECONDS = 1500;
 
 export function createGroupHealth(now: () => number, logger: Logger): GroupHealth {
   const groups = new Map<string, Group>();
   const forecast = createOutageForecast();
-  let wake: () => void = () => undefined;
-  let change = nextPromise();
+  let resolveChange: () => void = () => undefined;
+  let pendingChange = nextPromise();
 
   function nextPromise(): Promise<void> {
     return new Promise((resolve) => {
-      wake = resolve;
+      resolveChange = resolve;
     });
   }
 
@@ -70,60 +78,72 @@
     return group;
   }
 
-  /** Undefined when no rank was heard lately. The newest epoch decides; one broken rank is enough. */
-  function judge({ ranks }: Group): boolean | undefined {
-    const from = now() - FRESH_MILLISECONDS;
-    let newest = -1;
+  /**
+   * Whether the group is broken; undefined without a recent report. Only the newest epoch counts,
+   * and one broken rank is enough.
+   */
+  function findIsBroken({ ranks }: Group): boolean | undefined {
+    const from = now() - MAXIMUM_REPORT_AGE_MILLISECONDS;
+    let newestEpoch = -1;
     let isBroken: boolean | undefined;
-    for (const { epoch, isOpen, at } of ranks.values()) {
-      if (at < from || epoch < newest) continue;
-      if (epoch > newest) isBroken = false;
-      newest = epoch;
+    for (const { epoch, isOpen, reportedAt } of ranks.values()) {
+      if (reportedAt < from || epoch < newestEpoch) continue;
+      if (epoch > newestEpoch) isBroken = false;
+      newestEpoch = epoch;
       if (!isOpen) isBroken = true;
     }
     return isBroken;
   }
 
-  function note(name: string, group: Group, cause: string): void {
-    const isBroken = judge(group);
+  function updateGroup(name: string, group: Group, cause: string): void {
+    const isBroken = findIsBroken(group);
     if (isBroken === undefined || isBroken === group.isBroken) return;
-    const brokenFor = now() - group.changedAt;
-    if (!isBroken && Number.isFinite(brokenFor)) forecast.note(brokenFor);
-    // A group that was found broken may have stood still for long.
+    const brokenForMilliseconds = now() - group.changedAt;
+    if (!isBroken && Number.isFinite(brokenForMilliseconds))
+      forecast.recordOutage(brokenForMilliseconds);
+    // A group whose first report says that it is broken may have been stopped for any time.
     group.changedAt = group.isBroken === undefined ? -Infinity : now();
     group.isBroken = isBroken;
     logger.info(isBroken ? 'group lost' : 'group regained', { group: name, cause });
-    wake();
-    change = nextPromise();
+    resolveChange();
+    pendingChange = nextPromise();
   }
 
-  function hear(health: RankHealth, cause: string, at: number): void {
+  function applyRankState(health: RankHealth, cause: string, reportedAt: number): void {
     const group = groupOf(health.group);
     const known = group.ranks.get(health.rank);
-    if (known !== undefined && known.epoch >= health.epoch && known.at > at) return;
-    group.ranks.set(health.rank, { epoch: health.epoch, isOpen: health.isOpen, at });
-    note(health.group, group, cause);
+    if (known !== undefined && known.epoch >= health.epoch && known.reportedAt > reportedAt) return;
+    group.ranks.set(health.rank, { epoch: health.epoch, isOpen: health.isOpen, reportedAt });
+    updateGroup(health.group, group, cause);
   }
 
   return {
-    reported: (health, ageMilliseconds = 0) =>
-      hear(health, `rank ${health.rank} in epoch ${health.epoch}`, now() - ageMilliseconds),
-    refused(server) {
+    recordReport: (health, ageMilliseconds = 0) =>
+      applyRankState(
+        health,
+        `rank ${health.rank} in epoch ${health.epoch}`,
+        now() - ageMilliseconds,
+      ),
+    recordRefusal(server) {
       const { groupRank } = server;
       if (groupRank === undefined) return;
       const known = groups.get(groupRank.group)?.ranks.get(groupRank.rank);
       const epoch = Math.max(groupRank.epoch, known?.epoch ?? 0);
-      hear({ ...groupRank, epoch, isOpen: false }, `refused by ${server.instanceId}`, now());
+      applyRankState(
+        { ...groupRank, epoch, isOpen: false },
+        `refused by ${server.instanceId}`,
+        now(),
+      );
     },
-    brokenFor({ groupRank }) {
+    brokenForMilliseconds({ groupRank }) {
       if (groupRank === undefined) return undefined;
       const group = groups.get(groupRank.group);
-      const isBroken = (group === undefined ? undefined : judge(group)) ?? !groupRank.open;
+      const isBroken = (group === undefined ? undefined : findIsBroken(group)) ?? !groupRank.open;
       if (!isBroken) return undefined;
       return group?.isBroken === true ? now() - group.changedAt : Infinity;
     },
-    chanceOfReturn: forecast.chanceWithin,
-    likelyReturn: forecast.likelyWithin,
-    nextChange: () => change,
+    chanceOfReturn: forecast.chanceOfEnd,
+    likelyReturnMilliseconds: forecast.likelyEndMilliseconds,
+    nextChange: () => pendingChange,
   };
 }
--- a/packages/forwarding/src/plan-priority.ts
+++ b/packages/forwarding/src/plan-priority.ts
@@ -1,58 +1,58 @@
 /**
- * Who is served first where requests wait for each other. Made for the seconds after an outage and
- * for bursts, in which some callers have waited for so long that their answer is late whatever
- * happens, while those that ask now can still be in time. Served in the order of their arrival all
- * of them are late until the crowd is gone; served last, the late ones lose little, since they are
- * not let go before their callers would leave. Pure.
+ * Computes the priority of streams that are queued. Intended for the seconds after an outage and
+ * for bursts, when some callers have waited so long that their answer is late in any case, while
+ * new ones can still be answered in time. In order of arrival all of them would be late until the
+ * backlog is gone; served last, the late ones lose little, since they are not refused before their
+ * callers would leave. Pure.
  */
 import type { Route } from '@lapisbridge/catalog';
 
 export enum Urgency {
-  /** Its caller has had events: each pause shows. */
+  /** Its caller has received events, so every pause is visible. */
   Begun = 'begun',
-  /** It has waited at a server that stopped: its turn is overdue. */
+  /** It has waited at a server that stopped, so it is overdue. */
   Moved = 'moved',
   /** The answer can still be in time. */
   Fresh = 'fresh',
-  /** The answer is late whatever happens. */
+  /** The answer is late in any case. */
   Late = 'late',
 }
 
-export interface Waiting {
+export interface WaitingStream {
   readonly route: Route;
-  /** Whether the caller has had events. */
+  /** Whether the caller has received events. */
   readonly hasBegun: boolean;
-  /** Whether it was taken from a server that gave no sign of life. */
+  /** Whether it was moved from a server that had gone silent. */
   readonly isMoved: boolean;
   /** Whether the caller was refused before. */
   readonly isRetry: boolean;
-  /** Since the request arrived, or since its caller's last event. */
+  /** Time since the request arrived, or since its caller's last event. */
   readonly idleMilliseconds: number;
 }
 
-/** An answer takes about this share of the time that callers hope for. */
-const ANSWER_SHARE = 0.5;
-/** 0 is served first. */
-const LAST_PRIORITY = 9;
+/** Answering takes about this share of the route's latency objective. */
+const ANSWER_TIME_SHARE = 0.5;
+/** Highest value of a priority; 0 is served first. */
+const LOWEST_PRIORITY = 9;
 
-export function urgencyOf(waiting: Waiting): Urgency {
+export function urgencyOf(waiting: WaitingStream): Urgency {
   if (waiting.hasBegun) return Urgency.Begun;
   if (waiting.isMoved) return Urgency.Moved;
-  const latest = waiting.route.objectiveMilliseconds * (1 - ANSWER_SHARE);
+  const latest = waiting.route.objectiveMilliseconds * (1 - ANSWER_TIME_SHARE);
   const isFresh = !waiting.isRetry && waiting.idleMilliseconds <= latest;
   return isFresh ? Urgency.Fresh : Urgency.Late;
 }
 
-/** `usual` is the priority of the route or of the client account. */
-export function planPriority(usual: number, urgency: Urgency): number {
+/** `basePriority` is the priority of the route or of the client account. */
+export function planPriority(basePriority: number, urgency: Urgency): number {
   switch (urgency) {
     case Urgency.Begun:
     case Urgency.Moved:
-      return Math.max(0, usual - 1);
+      return Math.max(0, basePriority - 1);
     case Urgency.Fresh:
-      return usual;
+      return basePriority;
     case Urgency.Late:
-      return Math.min(LAST_PRIORITY, usual + 1);
+      return Math.min(LOWEST_PRIORITY, basePriority + 1);
     default: {
       const unreachable: never = urgency;
       return unreachable;
--- a/packages/forwarding/src/server-backoffs.test.ts
+++ b/packages/forwarding/src/server-backoffs.test.ts
@@ -15,7 +15,7 @@
   return { kind: RetryAfterKind.Stated, milliseconds };
 }
 
-describe('backoffs that servers ask for', () => {
+describe('backoffs that servers request', () => {
   let now = 0;
   let backoffs: ServerBackoffs;
 
@@ -24,17 +24,17 @@
     backoffs = createServerBackoffs(() => now, createSilentLogger());
   });
 
-  it('last as long as was asked for', () => {
+  it('last as long as requested', () => {
     backoffs.onAnswer('server', refusal(after(3000)));
     now += 2999;
     expect(backoffs.remainingMilliseconds('server')).toBe(1);
     expect(backoffs.remainingMilliseconds('other')).toBe(0);
     now += 1;
     expect(backoffs.remainingMilliseconds('server')).toBe(0);
-    expect(backoffs.list()).toEqual([]);
+    expect(backoffs.listActive()).toEqual([]);
   });
 
-  it('are prolonged by later answers, and not shortened or ended', () => {
+  it('are extended by later answers, never shortened or ended', () => {
     backoffs.onAnswer('server', refusal(after(3000)));
     now += 1000;
     backoffs.onAnswer('server', refusal(after(500)));
@@ -42,10 +42,10 @@
     expect(backoffs.remainingMilliseconds('server')).toBe(2000);
     backoffs.onAnswer('server', refusal(after(4000)));
     expect(backoffs.remainingMilliseconds('server')).toBe(4000);
-    expect(backoffs.list()).toEqual([{ instanceId: 'server', ageMilliseconds: 1000 }]);
+    expect(backoffs.listActive()).toEqual([{ instanceId: 'server', ageMilliseconds: 1000 }]);
   });
 
-  it('are asked for by 503 alone, in a time that can be read and is above 0', () => {
+  it('are requested only by a 503 with a readable time above 0', () => {
     backoffs.onAnswer('server', refusal(after(3000), 200));
     backoffs.onAnswer('server', refusal(after(3000), 429));
     backoffs.onAnswer('server', refusal({ kind: RetryAfterKind.Unreadable }));
@@ -53,17 +53,17 @@
     expect(backoffs.remainingMilliseconds('server')).toBe(0);
   });
 
-  it('are forgotten when they are over, and not before', () => {
+  it('are dropped when they have expired, and not before', () => {
     backoffs.onAnswer('server', refusal(after(3000)));
-    backoffs.forgetOver();
+    backoffs.removeExpired();
     expect(backoffs.remainingMilliseconds('server')).toBe(3000);
   });
 
-  it('count the requests that are sent meanwhile', () => {
-    backoffs.noteSent('server');
+  it('count the requests that are sent during them', () => {
+    backoffs.recordSent('server');
     backoffs.onAnswer('server', refusal(after(3000)));
-    backoffs.noteSent('server');
-    backoffs.noteSent('other');
+    backoffs.recordSent('server');
+    backoffs.recordSent('other');
     expect(backoffs.requestsSent()).toBe(1);
   });
 });
--- a/packages/forwarding/src/server-backoffs.ts
+++ b/packages/forwarding/src/server-backoffs.ts
@@ -1,25 +1,25 @@
 /**
- * Backoffs that backend servers ask for: with a 503, a server may say for how long it wants no
- * further request from this entry. A backoff concerns the entry that was told, and no other.
+ * Backoffs requested by backend servers: with a 503, a server may state for how long it takes no
+ * further request from this entry. A backoff applies only to the entry that received it.
  */
 import type { Logger } from '@lapisbridge/logger';
 
 import { RetryAfterKind } from './caller-protocol.js';
 import type { AnswerHead } from './caller-protocol.js';
-import type { StandingStatement } from './standing-statement.js';
+import type { ActiveStatement } from './active-statement.js';
 
 export interface ServerBackoffs {
-  /** Takes what a server's answer states; the answer has to be the server's own. */
+  /** Processes the head of an answer, which must come from the server itself. */
   onAnswer(instanceId: string, head: AnswerHead): void;
-  /** Milliseconds until the server may be sent to again; 0 for now. */
+  /** Milliseconds until requests may be sent to the server again; 0 if they may be sent now. */
   remainingMilliseconds(instanceId: string): number;
-  noteSent(instanceId: string): void;
-  /** Servers that back off now. */
-  list(): StandingStatement[];
-  /** Requests sent to servers while they backed off, since the start. */
+  recordSent(instanceId: string): void;
+  /** Servers that are currently backing off. */
+  listActive(): ActiveStatement[];
+  /** Number of requests sent to servers during their backoff since the process started. */
   requestsSent(): number;
-  /** Forgets backoffs that are over, also those of servers that are not asked about any more. */
-  forgetOver(): void;
+  /** Drops expired backoffs, including those of servers that are no longer queried. */
+  removeExpired(): void;
 }
 
 interface Backoff {
@@ -33,7 +33,7 @@
   const backoffs = new Map<string, Backoff>();
   let requestsSent = 0;
 
-  function current(instanceId: string): Backoff | undefined {
+  function activeBackoff(instanceId: string): Backoff | undefined {
     const backoff = backoffs.get(instanceId);
     if (backoff === undefined || backoff.until > now()) return backoff;
     backoffs.delete(instanceId);
@@ -59,7 +59,7 @@
       const { milliseconds } = retryAfter;
       if (milliseconds === 0) return;
       const until = now() + milliseconds;
-      const before = current(instanceId);
+      const before = activeBackoff(instanceId);
       if (before !== undefined) {
         before.until = Math.max(before.until, until);
         return;
@@ -68,24 +68,24 @@
       logger.info('server backoff', { server: instanceId, milliseconds });
     },
     remainingMilliseconds(instanceId) {
-      const backoff = current(instanceId);
+      const backoff = activeBackoff(instanceId);
       return backoff === undefined ? 0 : backoff.until - now();
     },
-    noteSent(instanceId) {
-      if (current(instanceId) !== undefined) requestsSent += 1;
+    recordSent(instanceId) {
+      if (activeBackoff(instanceId) !== undefined) requestsSent += 1;
     },
-    list() {
-      const listed: StandingStatement[] = [];
+    listActive() {
+      const listed: ActiveStatement[] = [];
       for (const instanceId of [...backoffs.keys()]) {
-        const backoff = current(instanceId);
+        const backoff = activeBackoff(instanceId);
         if (backoff === undefined) continue;
         listed.push({ instanceId, ageMilliseconds: now() - backoff.since });
       }
       return listed;
     },
     requestsSent: () => requestsSent,
-    forgetOver() {
-      for (const instanceId of [...backoffs.keys()]) current(instanceId);
+    removeExpired() {
+      for (const instanceId of [...backoffs.keys()]) activeBackoff(instanceId);
     },
   };
 }
--- a/packages/forwarding/src/shares.test.ts
+++ b/packages/forwarding/src/shares.test.ts
@@ -2,8 +2,8 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 
-import { createColdShare } from './cold-share.js';
-import { createRetryShare } from './retry-share.js';
+import { createColdStartShare } from './cold-start-share.js';
+import { createRetryBudgetShare } from './retry-budget-share.js';
 
 const BOUNDS = { ratio: 0.2, slack: 90, windowMilliseconds: 10_000 };
 
@@ -25,15 +25,15 @@
   { maxLength: 300 },
 );
 
-describe('shares that entries take without asking each other', () => {
+describe('shares that entries compute without communication', () => {
   it('of the retry budget never add up to more than the budget in any window', () => {
-    // A service turns grey and every entry repeats what fails. Each knows only its own requests;
-    // together they would multiply the load of a service that is failing already.
+    // Guards against retry storms: when a service fails partially, every entry retries and knows
+    // only its own requests, so that together they would multiply the load of the failing service.
     fc.assert(
       fc.property(steps, (played: Step[]) => {
         let now = 0;
         const shares = Array.from({ length: 7 }, () =>
-          createRetryShare(
+          createRetryBudgetShare(
             () => BOUNDS,
             () => 7,
             () => now,
@@ -43,10 +43,10 @@
         const repeats: number[] = [];
         for (const { entry, wait, repeats: wanted } of played) {
           now += wait;
-          shares[entry]?.count('service');
+          shares[entry]?.recordRequest('service');
           requests.push(now);
           for (let index = 0; index < wanted; index += 1) {
-            if (shares[entry]?.spend('service') === true) repeats.push(now);
+            if (shares[entry]?.trySpend('service') === true) repeats.push(now);
           }
           const from = now - BOUNDS.windowMilliseconds;
           const inWindow = (times: number[]): number => times.filter((at) => at >= from).length;
@@ -59,15 +59,15 @@
     );
   });
 
-  it('of a cold server never add up to more than it bears in any second', () => {
-    // A zone returns cold and every entry sends to it at once. Far above its cold rate the server
-    // crashes, and whoever waits there is lost.
+  it('of a cold server never add up to more than its cold-start rate in any second', () => {
+    // When a zone returns, its servers are cold and every entry sends to them at once. Far above
+    // its cold-start rate a server crashes, and its queued requests are lost.
     const rate = 36;
     fc.assert(
       fc.property(steps, (played: Step[]) => {
         let now = 0;
         const shares = Array.from({ length: 7 }, () =>
-          createColdShare(
+          createColdStartShare(
             () => ENTRIES,
             () => now,
           ),
@@ -76,8 +76,8 @@
         for (const { entry, wait } of played) {
           now += wait / 20;
           const share = shares[entry];
-          if (share?.roomIn('server', rate) === 0) {
-            share.noteSent('server');
+          if (share?.roomInMilliseconds('server', rate) === 0) {
+            share.recordSent('server');
             sent.push(now);
           }
           const from = now - 1000;
@@ -88,20 +88,20 @@
     );
   });
 
-  it('of a cold server never add up to more where entries are more than it bears requests', () => {
-    // 39 entries see a server come back, and each sends it one request: twice what it bears.
+  it('of a cold server never add up to more than its rate when entries outnumber its requests', () => {
+    // 39 entries see a server return; one request from each would be twice what it can take.
     const rate = 14;
     const names = Array.from({ length: 39 }, (_, index) => `entry-${index}`);
     const now = 0;
     for (const server of ['one', 'two', 'three']) {
       let sent = 0;
       for (const own of names) {
-        const share = createColdShare(
+        const share = createColdStartShare(
           () => ({ own, names, count: names.length }),
           () => now,
         );
-        while (share.roomIn(server, rate) === 0) {
-          share.noteSent(server);
+        while (share.roomInMilliseconds(server, rate) === 0) {
+          share.recordSent(server);
           sent += 1;
         }
       }
@@ -110,10 +110,11 @@
     }
   });
 
-  it('of a cold server stay within its bound while entries do not know all others yet', () => {
-    // All entries lose power and start at once. For some tenths of a second each knows some of the
-    // others, another part each, and finds itself among the few that may send to a cold server more
-    // often than it should. The platform bears half more than the rate, and a few.
+  it('of a cold server stay within its limit while entries do not know all others yet', () => {
+    // All entries lose power and start at the same time. For some tenths of a second each knows a
+    // different subset of the others, and ranks itself among the few senders of a cold server more
+    // often than it should. The platform tolerates one and a half times the rate, plus a few
+    // requests.
     const rate = 14;
     const random = createRandom(7);
     const names = Array.from({ length: 46 }, (_, index) => `entry-${index}`);
@@ -122,51 +123,51 @@
       for (const own of names) {
         const known = pickSome(names, 15 + Math.floor(30 * random()), random);
         const view = known.includes(own) ? known : [...known, own];
-        const share = createColdShare(
+        const share = createColdStartShare(
           () => ({ own, names: view, count: view.length }),
           () => 0,
         );
-        if (share.roomIn(`server-${server}`, rate) === 0) sent += 1;
+        if (share.roomInMilliseconds(`server-${server}`, rate) === 0) sent += 1;
       }
       expect(sent, `server ${server}`).toBeLessThanOrEqual(rate * 1.5 + 5);
     }
   });
 
-  it('tells when there is room again', () => {
+  it('return the time until the next request is allowed', () => {
     let now = 0;
-    const share = createColdShare(
+    const share = createColdStartShare(
       () => ENTRIES,
       () => now,
     );
-    share.noteSent('server');
+    share.recordSent('server');
     now = 300;
-    expect(share.roomIn('server', 7)).toBe(700);
+    expect(share.roomInMilliseconds('server', 7)).toBe(700);
     now = 1001;
-    expect(share.roomIn('server', 7)).toBe(0);
+    expect(share.roomInMilliseconds('server', 7)).toBe(0);
   });
 
-  it('of a server that is missing from the list for a moment are not begun anew', () => {
-    // A row of the list lapses while the store is slow and is back a moment later. Entries that had
-    // forgotten what they sent would send a cold server twice what it bears, and it would crash.
+  it('of a server that is briefly missing from the list are not reset', () => {
+    // A row of the list expires while the store is slow and returns shortly after. Entries that had
+    // dropped what they sent would send a cold server twice what it can take, and it would crash.
     let now = 0;
-    const share = createColdShare(
+    const share = createColdStartShare(
       () => ENTRIES,
       () => now,
     );
-    share.noteSent('server');
+    share.recordSent('server');
     share.keepOnly(new Map());
-    expect(share.roomIn('server', 7)).toBeGreaterThan(0);
+    expect(share.roomInMilliseconds('server', 7)).toBeGreaterThan(0);
     now = 1500;
     share.keepOnly(new Map());
-    expect(share.roomIn('server', 7)).toBe(0);
+    expect(share.roomInMilliseconds('server', 7)).toBe(0);
   });
 
-  it('leaves a server without a cold phase alone', () => {
-    const share = createColdShare(
+  it('do not limit a server without a cold-start phase', () => {
+    const share = createColdStartShare(
       () => ENTRIES,
       () => 0,
     );
-    for (let index = 0; index < 100; index += 1) share.noteSent('server');
-    expect(share.roomIn('server', 0)).toBe(0);
+    for (let index = 0; index < 100; index += 1) share.recordSent('server');
+    expect(share.roomInMilliseconds('server', 0)).toBe(0);
   });
 });
--- a/packages/forwarding/src/silent-server.test.ts
+++ b/packages/forwarding/src/silent-server.test.ts
@@ -1,5 +1,5 @@
 /**
- * Streams at a backend server that gives no sign of life any more while others of its service do.
+ * Streams at a backend server that has gone silent while others of its service have not.
  */
 import { request } from 'node:http';
 
@@ -9,7 +9,7 @@
 
 import { startFixture, streamEvents } from './forwarding-fixture.js';
 import type { Fixture, Script } from './forwarding-fixture.js';
-import { callerPatience } from './plan-wait.js';
+import { callerPatienceMilliseconds } from './plan-wait.js';
 import { STREAM_ROUTE } from './stream-route-fixture.js';
 
 let fixture: Fixture;
@@ -21,8 +21,8 @@
 const EVENTS = 6;
 const ALL_EVENTS = [1, 2, 3, 4, 5, 6].map((id) => `id: ${id}\ndata: ${id}\n\n`).join('');
 
-/** Makes some events and then nothing more. */
-function fallSilentAfter(count: number): Script {
+/** Sends some events and then nothing more. */
+function sendEventsThenStall(count: number): Script {
   return (incoming, response) => {
     if (count === 0) return;
     response.writeHead(200, {
@@ -44,7 +44,7 @@
   });
 }
 
-/** The text that the caller of one stream has when it ends. */
+/** Sends one stream and resolves with the text that its caller has when it ends. */
 function stream(requestId: string): Promise<string> {
   return new Promise((resolve) => {
     let text = '';
@@ -64,7 +64,7 @@
 beforeEach(() => {
   reporting = new Set(NAMES);
   reports = setInterval(() => {
-    for (const name of reporting) fixture.liveness.heard(name);
+    for (const name of reporting) fixture.liveness.recordContact(name);
   }, 50);
 });
 
@@ -73,8 +73,8 @@
   await fixture.close();
 });
 
-it('goes on elsewhere at once where it waits for its first event', async () => {
-  await start(fallSilentAfter(0), streamEvents(EVENTS));
+it('continues elsewhere at once while it waits for its first event', async () => {
+  await start(sendEventsThenStall(0), streamEvents(EVENTS));
   const began = performance.now();
   const answer = stream('waiting');
   await sleep(50);
@@ -84,8 +84,8 @@
   expect(fixture.arrivals.map(({ instanceId }) => instanceId)).toEqual(['one', 'two']);
 });
 
-it('goes on elsewhere behind its last event, also while its service makes no events', async () => {
-  await start(fallSilentAfter(3), streamEvents(EVENTS));
+it('continues elsewhere after its last event, also while its service sends no events', async () => {
+  await start(sendEventsThenStall(3), streamEvents(EVENTS));
   const answer = stream('begun');
   await sleep(50);
   reporting.delete('one');
@@ -96,35 +96,41 @@
 it.each([
   ['that waits', 0],
   ['that has begun', 3],
-])('ends a stream %s before its caller leaves where no server goes on', async (_what, events) => {
-  // Guards against streams that are moved, wait for a service that stands still, and are left.
-  await start(fallSilentAfter(events), fallSilentAfter(0));
-  const began = performance.now();
-  const answer = stream('late');
-  await sleep(50);
-  reporting.delete('one');
-  await answer;
-  expect(performance.now() - began).toBeLessThan(callerPatience(STREAM_ROUTE));
-  expect(fixture.arrivals[0]?.instanceId).toBe('one');
-});
+])(
+  'ends a stream %s before its caller leaves where no server continues it',
+  async (_what, events) => {
+    // Guards against moving a stream and holding it for a stopped service until its caller leaves.
+    await start(sendEventsThenStall(events), sendEventsThenStall(0));
+    const began = performance.now();
+    const answer = stream('late');
+    await sleep(50);
+    reporting.delete('one');
+    await answer;
+    expect(performance.now() - began).toBeLessThan(callerPatienceMilliseconds(STREAM_ROUTE));
+    expect(fixture.arrivals[0]?.instanceId).toBe('one');
+  },
+);
 
-it('ends a stream before its caller leaves where its server stops after a long wait', async () => {
-  // Guards against streams that wait at one server for as long as their callers stay.
-  await start(fallSilentAfter(0), streamEvents(EVENTS));
+it('ends a stream before its caller leaves if its server stops after a long wait', async () => {
+  // Guards against streams that wait at one server until their callers leave.
+  await start(sendEventsThenStall(0), streamEvents(EVENTS));
   const began = performance.now();
   const answer = stream('long');
   await sleep(1750);
   reporting.delete('one');
   await answer;
-  expect(performance.now() - began).toBeLessThan(callerPatience(STREAM_ROUTE));
+  expect(performance.now() - began).toBeLessThan(callerPatienceMilliseconds(STREAM_ROUTE));
   expect(fixture.arrivals[0]?.instanceId).toBe('one');
 });
 
-it('leaves a stream that has begun to a server that reports, as long as its caller stays', async () => {
-  // Guards against answers that an entry breaks off although their server is there.
+it('leaves a started stream at a server that reports, for as long as its caller waits', async () => {
+  // Guards against aborting an answer although its server is up.
   const pausing: Script = (incoming, response) => {
-    fallSilentAfter(3)(incoming, response);
-    setTimeout(() => response.end('id: 4\ndata: 4\n\n'), callerPatience(STREAM_ROUTE) + 100);
+    sendEventsThenStall(3)(incoming, response);
+    setTimeout(
+      () => response.end('id: 4\ndata: 4\n\n'),
+      callerPatienceMilliseconds(STREAM_ROUTE) + 100,
+    );
   };
   await start(pausing, streamEvents(EVENTS));
   expect(await stream('pausing')).toContain('id: 4');
