--- a/packages/direct-entry/src/start-entry.ts
+++ b/packages/direct-entry/src/start-entry.ts
@@ -202,7 +202,7 @@
           ...settings.callerAddress,
           context,
           isOutdated: () => knowledge.isOutdated(),
-          lingerMilliseconds: LINGER_MILLISECONDS,
+          shutdownDelayMilliseconds: LINGER_MILLISECONDS,
         });
 
   startMetricsListener(metrics, settings.host, settings.metricsPort, (error) => {
--- a/packages/forwarding/src/accept-request.test.ts
+++ b/packages/forwarding/src/accept-request.test.ts
@@ -2,7 +2,7 @@
 import type { Configuration, Route } from '@lapisbridge/catalog';
 import { describe, expect, it } from 'vitest';
 
-import { AdmissionKind, Impropriety, planAdmission } from './accept-request.js';
+import { AdmissionKind, decideAdmission, RejectionReason } from './accept-request.js';
 import type { CallerRequest } from './caller-protocol.js';
 
 function routeWith(prefix: string, service: string): Route {
@@ -40,18 +40,18 @@
   host: 'host',
   target: '/a/b/c?query=/x/',
   key: 'key',
-  patienceMilliseconds: 500,
+  callerTimeoutMilliseconds: 500,
   lastEventId: undefined,
   promptTokens: 0,
   headers: [],
 };
 
 function admit(request: Partial<CallerRequest>, isOutdated = false) {
-  return planAdmission({
+  return decideAdmission({
     configuration: CONFIGURATION,
     isOutdated,
     request: { ...REQUEST, ...request },
-    share: 0.5,
+    randomValue: 0.5,
   });
 }
 
@@ -64,19 +64,21 @@
       timeoutMilliseconds: 450,
       account: { name: 'account' },
     });
-    expect(admit({ patienceMilliseconds: 9000 })).toMatchObject({ timeoutMilliseconds: 800 });
+    expect(admit({ callerTimeoutMilliseconds: 9000 })).toMatchObject({ timeoutMilliseconds: 800 });
   });
 
   it('says what is wrong with a request', () => {
-    expect(admit({ target: '/z/' })).toMatchObject({ fault: Impropriety.NoRoute });
-    expect(admit({ key: 'other' })).toMatchObject({ fault: Impropriety.UnknownKey });
-    expect(admit({ requestId: undefined })).toMatchObject({ fault: Impropriety.NoRequestId });
+    expect(admit({ target: '/z/' })).toMatchObject({ reason: RejectionReason.RouteNotFound });
+    expect(admit({ key: 'other' })).toMatchObject({ reason: RejectionReason.UnknownKey });
+    expect(admit({ requestId: undefined })).toMatchObject({
+      reason: RejectionReason.MissingRequestId,
+    });
   });
 
   it('denies nothing on knowledge that may be outdated', () => {
     // The store turns this instance away while operators add a key. Told 401, the customer would
     // not ask again, although every other instance lets it in.
-    expect(admit({ key: 'other' }, true)).toEqual({ kind: AdmissionKind.NotKnown });
-    expect(admit({ target: '/z/' }, true)).toEqual({ kind: AdmissionKind.NotKnown });
+    expect(admit({ key: 'other' }, true)).toEqual({ kind: AdmissionKind.Undecided });
+    expect(admit({ target: '/z/' }, true)).toEqual({ kind: AdmissionKind.Undecided });
   });
 });
--- a/packages/forwarding/src/accept-request.ts
+++ b/packages/forwarding/src/accept-request.ts
@@ -6,19 +6,19 @@
 import type { ClientAccount, Configuration, Route } from '@lapisbridge/catalog';
 
 import type { CallerRequest } from './caller-protocol.js';
-import { planReplyMargin } from './reply-margin.js';
+import { computeReplyMargin } from './reply-margin.js';
 
 export enum AdmissionKind {
   Accepted = 'accepted',
   /** The request itself is wrong; asking again changes nothing. */
-  Improper = 'improper',
+  Rejected = 'improper',
   /** Nothing is known that could decide it. */
-  NotKnown = 'notKnown',
+  Undecided = 'notKnown',
 }
 
-export enum Impropriety {
-  NoRequestId = 'noRequestId',
-  NoRoute = 'noRoute',
+export enum RejectionReason {
+  MissingRequestId = 'noRequestId',
+  RouteNotFound = 'noRoute',
   UnknownKey = 'unknownKey',
 }
 
@@ -31,8 +31,8 @@
       readonly account: ClientAccount | undefined;
       readonly timeoutMilliseconds: number;
     }
-  | { readonly kind: AdmissionKind.Improper; readonly fault: Impropriety }
-  | { readonly kind: AdmissionKind.NotKnown };
+  | { readonly kind: AdmissionKind.Rejected; readonly reason: RejectionReason }
+  | { readonly kind: AdmissionKind.Undecided };
 
 export interface AdmissionInput {
   readonly configuration: Configuration | undefined;
@@ -40,39 +40,39 @@
   readonly isOutdated: boolean;
   readonly request: CallerRequest;
   /** Uniform in [0, 1); picks among the services of a split route. */
-  readonly share: number;
+  readonly randomValue: number;
 }
 
 /** Milliseconds after which the caller is answered in any case. */
-function planTimeout(route: Route, patienceMilliseconds: number | undefined): number {
-  if (patienceMilliseconds === undefined) return route.timeoutMilliseconds;
-  const latest = patienceMilliseconds - planReplyMargin(patienceMilliseconds);
+function computeTimeout(route: Route, callerTimeoutMilliseconds: number | undefined): number {
+  if (callerTimeoutMilliseconds === undefined) return route.timeoutMilliseconds;
+  const latest = callerTimeoutMilliseconds - computeReplyMargin(callerTimeoutMilliseconds);
   return Math.min(route.timeoutMilliseconds, latest);
 }
 
-export function planAdmission(input: AdmissionInput): Admission {
+export function decideAdmission(input: AdmissionInput): Admission {
   const { configuration, request, isOutdated } = input;
-  if (configuration === undefined) return { kind: AdmissionKind.NotKnown };
+  if (configuration === undefined) return { kind: AdmissionKind.Undecided };
   if (request.requestId === undefined) {
-    return { kind: AdmissionKind.Improper, fault: Impropriety.NoRequestId };
+    return { kind: AdmissionKind.Rejected, reason: RejectionReason.MissingRequestId };
   }
   const path = request.target.split('?', 1)[0] ?? '';
   const route = findRoute(configuration, request.host, path);
   if (route === undefined) {
-    if (isOutdated) return { kind: AdmissionKind.NotKnown };
-    return { kind: AdmissionKind.Improper, fault: Impropriety.NoRoute };
+    if (isOutdated) return { kind: AdmissionKind.Undecided };
+    return { kind: AdmissionKind.Rejected, reason: RejectionReason.RouteNotFound };
   }
   const access = checkAccess(configuration, route, request.key);
   if (access.kind === AccessKind.UnknownKey) {
-    if (isOutdated) return { kind: AdmissionKind.NotKnown };
-    return { kind: AdmissionKind.Improper, fault: Impropriety.UnknownKey };
+    if (isOutdated) return { kind: AdmissionKind.Undecided };
+    return { kind: AdmissionKind.Rejected, reason: RejectionReason.UnknownKey };
   }
   return {
     kind: AdmissionKind.Accepted,
     requestId: request.requestId,
     route,
-    service: pickService(route, input.share),
+    service: pickService(route, input.randomValue),
     account: access.account,
-    timeoutMilliseconds: planTimeout(route, request.patienceMilliseconds),
+    timeoutMilliseconds: computeTimeout(route, request.callerTimeoutMilliseconds),
   };
 }
--- a/packages/forwarding/src/answer-head.ts
+++ b/packages/forwarding/src/answer-head.ts
@@ -3,7 +3,7 @@
  * proves that the request did not run.
  */
 import { RetryAfterKind } from './caller-protocol.js';
-import type { AnswerHead } from './caller-protocol.js';
+import type { ResponseHead } from './caller-protocol.js';
 
 const SUCCESS_FROM = 200;
 const SUCCESS_TO = 300;
@@ -13,18 +13,18 @@
 }
 
 /** Reasons for which the head of an answer is not believed; undefined when it is sound. */
-export function doubtHead(head: AnswerHead, requestId: string): string | undefined {
+export function doubtHead(head: ResponseHead, requestId: string): string | undefined {
   if (head.requestId !== requestId) return 'answer to another request';
   if (isSuccess(head.status) && !head.isSigned) return 'success without a signature';
   return undefined;
 }
 
-function describeBackoff({ retryAfter }: AnswerHead): string {
+function describeBackoff({ retryAfter }: ResponseHead): string {
   if (retryAfter.kind !== RetryAfterKind.Stated) return '';
   return `, back off for ${Math.round(retryAfter.milliseconds)} ms`;
 }
 
-export function describeRefusal(head: AnswerHead): string {
+export function describeRefusal(head: ResponseHead): string {
   if (head.isMisdirected) return 'another server has the address';
   return head.faultyAddress === undefined
     ? `refused by it${describeBackoff(head)}`
@@ -32,13 +32,13 @@
 }
 
 /** Whether the head is that of the server that the request was sent to. */
-export function speaksForServer(head: AnswerHead, requestId: string): boolean {
+export function speaksForServer(head: ResponseHead, requestId: string): boolean {
   if (head.isMisdirected) return false;
   // Refusals need not name the request.
   return provesNotRun(head) || doubtHead(head, requestId) === undefined;
 }
 
 /** Whether the head proves that the request did not run. */
-export function provesNotRun(head: AnswerHead): boolean {
+export function provesNotRun(head: ResponseHead): boolean {
   return head.notRun || head.isMisdirected;
 }
--- a/packages/forwarding/src/caller-listener.ts
+++ b/packages/forwarding/src/caller-listener.ts
@@ -8,9 +8,9 @@
 import { RequestKind } from '@lapisbridge/catalog';
 import { LatencyKind } from '@lapisbridge/metrics';
 
-import { AdmissionKind, Impropriety, planAdmission } from './accept-request.js';
-import { createCallerAnswer } from './caller-answer.js';
-import type { CallerAnswer } from './caller-answer.js';
+import { AdmissionKind, decideAdmission, RejectionReason } from './accept-request.js';
+import { createCallerResponse } from './caller-response.js';
+import type { CallerResponse } from './caller-response.js';
 import type { CallerRequest } from './caller-protocol.js';
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
 import { EndKind, noteOutcome } from './note-outcome.js';
@@ -24,7 +24,7 @@
   /** Answers what is in progress, takes nothing that is new in the end; resolves when done. */
   stop(): Promise<void>;
   /** Requests in progress. */
-  inProgress(): number;
+  inFlightCount(): number;
 }
 
 export interface CallerListenerOptions {
@@ -34,43 +34,43 @@
   /** Whether the configuration may be outdated. */
   isOutdated(): boolean;
   /** How long new connections are still taken after a stop was asked for. */
-  readonly lingerMilliseconds: number;
+  readonly shutdownDelayMilliseconds: number;
 }
 
 const BAD_REQUEST = 400;
 const UNAUTHORIZED = 401;
 const NOT_FOUND = 404;
-const TOO_LARGE = 413;
+const CONTENT_TOO_LARGE = 413;
 const SERVICE_UNAVAILABLE = 503;
 
-const STATUS_OF: Readonly<Record<Impropriety, number>> = {
-  [Impropriety.NoRequestId]: BAD_REQUEST,
-  [Impropriety.NoRoute]: NOT_FOUND,
-  [Impropriety.UnknownKey]: UNAUTHORIZED,
+const STATUS_BY_REASON: Readonly<Record<RejectionReason, number>> = {
+  [RejectionReason.MissingRequestId]: BAD_REQUEST,
+  [RejectionReason.RouteNotFound]: NOT_FOUND,
+  [RejectionReason.UnknownKey]: UNAUTHORIZED,
 };
 
 /** Used until a configuration says otherwise. */
-const DEFAULT_BODY_BYTES = 4 * 1024 * 1024;
-const DEFAULT_HEADER_MILLISECONDS = 3000;
-const DEFAULT_IDLE_MILLISECONDS = 15_000;
+const DEFAULT_MAXIMUM_BODY_BYTES = 4 * 1024 * 1024;
+const DEFAULT_HEADER_TIMEOUT_MILLISECONDS = 3000;
+const DEFAULT_IDLE_TIMEOUT_MILLISECONDS = 15_000;
 /** Callers use four fifths of the idle time; closing later than that never meets a request. */
-const IDLE_FACTOR = 1.2;
+const IDLE_TIMEOUT_FACTOR = 1.2;
 const MAXIMUM_HEADER_BYTES = 64 * 1024;
 /** Time for a whole body; the caller's deadline comes sooner. */
-const BODY_MILLISECONDS = 30_000;
-const CHECK_MILLISECONDS = 1000;
-const CLOSE_IDLE_MILLISECONDS = 100;
+const REQUEST_TIMEOUT_MILLISECONDS = 30_000;
+const TIMEOUT_CHECK_INTERVAL_MILLISECONDS = 1000;
+const IDLE_CLOSE_INTERVAL_MILLISECONDS = 100;
 /** Time for a caller without a deadline. */
-const ASSUMED_PATIENCE_MILLISECONDS = 10_000;
+const DEFAULT_CALLER_TIMEOUT_MILLISECONDS = 10_000;
 
 /** Reads the body; undefined when it is larger than allowed. */
-function readBody(incoming: IncomingMessage, maximum: number): Promise<Buffer | undefined> {
+function readBody(incoming: IncomingMessage, maximumBytes: number): Promise<Buffer | undefined> {
   return new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
     let size = 0;
     incoming.on('data', (chunk: Buffer) => {
       size += chunk.length;
-      if (size > maximum) resolve(undefined);
+      if (size > maximumBytes) resolve(undefined);
       else chunks.push(chunk);
     });
     incoming.on('end', () => resolve(chunks.length === 1 ? chunks[0] : Buffer.concat(chunks)));
@@ -83,10 +83,10 @@
   const { context } = options;
   const returnWatch = createReturnWatch();
   let stopping = false;
-  let active = 0;
+  let inFlight = 0;
 
-  function answerOwn(
-    answer: CallerAnswer,
+  function sendLocalReply(
+    callerResponse: CallerResponse,
     request: CallerRequest,
     status: number,
     reason: string,
@@ -95,7 +95,8 @@
       status === SERVICE_UNAVAILABLE
         ? planRetryAfter({
             cause: RefusalCause.NoConfiguration,
-            remainingMilliseconds: request.patienceMilliseconds ?? ASSUMED_PATIENCE_MILLISECONDS,
+            remainingMilliseconds:
+              request.callerTimeoutMilliseconds ?? DEFAULT_CALLER_TIMEOUT_MILLISECONDS,
             random: context.random(),
           })
         : undefined;
@@ -106,50 +107,63 @@
       reason,
       facts: { configurationVersion: context.catalog.operators().configuration?.version },
     });
-    const headers = context.protocol.encodeOwnAnswer(request.requestId, retryAfter);
-    answer.send(status, headers, Buffer.alloc(0));
+    const headers = context.protocol.encodeLocalReplyHeaders(request.requestId, retryAfter);
+    callerResponse.send(status, headers, Buffer.alloc(0));
     context.metrics.countRequest('not admitted', status);
   }
 
-  function noteLeft(accepted: AcceptedRequest): void {
+  function logCallerDisconnect(accepted: AcceptedRequest): void {
     noteOutcome(context, accepted, {
       kind: EndKind.Gone,
       choice: 'caller',
       reason: 'the caller left',
-      facts: { hasBegun: accepted.answer.hasBegun },
+      facts: { hasBegun: accepted.response.hasBegun },
     });
   }
 
-  async function serve(incoming: IncomingMessage, response: ServerResponse): Promise<void> {
-    const answer = createCallerAnswer(response);
+  async function handleRequest(incoming: IncomingMessage, response: ServerResponse): Promise<void> {
+    const callerResponse = createCallerResponse(response);
     const arrivedAt = context.now();
     const request = context.protocol.decodeRequest(incoming);
     const { limits } = context.catalog.operators().configuration ?? {};
-    const maximumBody = limits?.maximumBodyBytes ?? DEFAULT_BODY_BYTES;
+    const maximumBody = limits?.maximumBodyBytes ?? DEFAULT_MAXIMUM_BODY_BYTES;
     const body = await readBody(incoming, maximumBody);
-    if (answer.isOver) return;
+    if (callerResponse.isEnded) return;
     if (body === undefined) {
       response.shouldKeepAlive = false;
-      answerOwn(answer, request, TOO_LARGE, `body over ${maximumBody} bytes`);
+      sendLocalReply(callerResponse, request, CONTENT_TOO_LARGE, `body over ${maximumBody} bytes`);
       return;
     }
     // A newer one may have come into force while the body was read.
     const { configuration } = context.catalog.operators();
-    const admission = planAdmission({
+    const admission = decideAdmission({
       configuration,
       isOutdated: options.isOutdated(),
       request,
-      share: context.random(),
+      randomValue: context.random(),
     });
     switch (admission.kind) {
-      case AdmissionKind.NotKnown:
-        answerOwn(answer, request, SERVICE_UNAVAILABLE, 'configuration not known or outdated');
+      case AdmissionKind.Undecided:
+        sendLocalReply(
+          callerResponse,
+          request,
+          SERVICE_UNAVAILABLE,
+          'configuration not known or outdated',
+        );
         return;
-      case AdmissionKind.Improper:
-        answerOwn(answer, request, STATUS_OF[admission.fault], admission.fault);
+      case AdmissionKind.Rejected:
+        sendLocalReply(
+          callerResponse,
+          request,
+          STATUS_BY_REASON[admission.reason],
+          admission.reason,
+        );
         return;
       case AdmissionKind.Accepted: {
-        const isRetry = returnWatch.isRetry(admission.route.name, request.patienceMilliseconds);
+        const isRetry = returnWatch.isRetry(
+          admission.route.name,
+          request.callerTimeoutMilliseconds,
+        );
         const accepted = {
           ...admission,
           request,
@@ -157,7 +171,7 @@
           body,
           arrivedAt,
           expiresAt: arrivedAt + admission.timeoutMilliseconds,
-          answer,
+          response: callerResponse,
           isRetry,
           priority: admission.account?.priority ?? admission.route.priority,
         };
@@ -165,8 +179,8 @@
         context.arrivals.note(admission.service);
         if (admission.route.kind === RequestKind.Streaming) await serveStream(context, accepted);
         else await servePlain(context, accepted);
-        if (answer.hasLeft) noteLeft(accepted);
-        context.metrics.countRequest(admission.route.kind, answer.status);
+        if (callerResponse.hasDisconnected) logCallerDisconnect(accepted);
+        context.metrics.countRequest(admission.route.kind, callerResponse.status);
         context.metrics.observe(LatencyKind.Answer, context.now() - arrivedAt);
         return;
       }
@@ -178,28 +192,29 @@
   }
 
   function onRequest(incoming: IncomingMessage, response: ServerResponse): void {
-    active += 1;
+    inFlight += 1;
     response.once('close', () => {
-      active -= 1;
+      inFlight -= 1;
     });
     if (stopping) response.shouldKeepAlive = false;
     applyLimits();
-    serve(incoming, response).catch((thrown: unknown) => {
+    handleRequest(incoming, response).catch((thrown: unknown) => {
       context.logger.warn('request failed', { reason: String(thrown) });
       response.destroy();
     });
   }
 
   const server: Server = createServer({ maxHeaderSize: MAXIMUM_HEADER_BYTES }, onRequest);
-  server.requestTimeout = BODY_MILLISECONDS;
+  server.requestTimeout = REQUEST_TIMEOUT_MILLISECONDS;
   (server as Server & { connectionsCheckingInterval: number }).connectionsCheckingInterval =
-    CHECK_MILLISECONDS;
+    TIMEOUT_CHECK_INTERVAL_MILLISECONDS;
 
   function applyLimits(): void {
     const limits = context.catalog.operators().configuration?.limits;
-    server.headersTimeout = limits?.headerTimeoutMilliseconds ?? DEFAULT_HEADER_MILLISECONDS;
+    server.headersTimeout =
+      limits?.headerTimeoutMilliseconds ?? DEFAULT_HEADER_TIMEOUT_MILLISECONDS;
     server.keepAliveTimeout =
-      (limits?.idleTimeoutMilliseconds ?? DEFAULT_IDLE_MILLISECONDS) * IDLE_FACTOR;
+      (limits?.idleTimeoutMilliseconds ?? DEFAULT_IDLE_TIMEOUT_MILLISECONDS) * IDLE_TIMEOUT_FACTOR;
   }
 
   return {
@@ -217,14 +232,17 @@
       stopping = true;
       // The balancer notices only after some of its checks; until then it sends connections.
       await new Promise((resolve) => {
-        setTimeout(resolve, options.lingerMilliseconds);
+        setTimeout(resolve, options.shutdownDelayMilliseconds);
       });
-      const timer = setInterval(() => server.closeIdleConnections(), CLOSE_IDLE_MILLISECONDS);
+      const timer = setInterval(
+        () => server.closeIdleConnections(),
+        IDLE_CLOSE_INTERVAL_MILLISECONDS,
+      );
       await new Promise<void>((resolve) => {
         server.close(() => resolve());
       });
       clearInterval(timer);
     },
-    inProgress: () => active,
+    inFlightCount: () => inFlight,
   };
 }
--- a/packages/forwarding/src/caller-protocol.ts
+++ b/packages/forwarding/src/caller-protocol.ts
@@ -18,14 +18,14 @@
   readonly target: string;
   readonly key: string | undefined;
   /** How long the caller will wait, from the arrival of the request. */
-  readonly patienceMilliseconds: number | undefined;
+  readonly callerTimeoutMilliseconds: number | undefined;
   /** Last event the caller already has of a stream that it goes on with. */
   readonly lastEventId: number | undefined;
   readonly promptTokens: number;
   readonly headers: readonly string[];
 }
 
-export interface ForwardInput {
+export interface ForwardHeadersInput {
   readonly request: CallerRequest;
   readonly server: BackendServer;
   readonly account: ClientAccount | undefined;
@@ -47,30 +47,30 @@
   None = 'none',
   Stated = 'stated',
   /** It states something that is no number: what is known of its limit stands. */
-  Unreadable = 'unreadable',
+  Malformed = 'unreadable',
 }
 
 /** What a backend server states of the requests that it takes from all entries together. */
 export type StatedRateLimit =
   | { readonly kind: RateLimitKind.None }
   | { readonly kind: RateLimitKind.Stated; readonly requestsPerSecond: number }
-  | { readonly kind: RateLimitKind.Unreadable };
+  | { readonly kind: RateLimitKind.Malformed };
 
 export enum RetryAfterKind {
   /** The server states nothing. */
   None = 'none',
   Stated = 'stated',
   /** It states something that is no number of seconds. */
-  Unreadable = 'unreadable',
+  Malformed = 'unreadable',
 }
 
 /** For how long a backend server wants no further request from this entry. */
 export type StatedRetryAfter =
   | { readonly kind: RetryAfterKind.None }
   | { readonly kind: RetryAfterKind.Stated; readonly milliseconds: number }
-  | { readonly kind: RetryAfterKind.Unreadable };
+  | { readonly kind: RetryAfterKind.Malformed };
 
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number;
   readonly requestId: string | undefined;
   /** The backend server vouches for the answer. */
@@ -93,10 +93,10 @@
 export interface CallerProtocol {
   decodeRequest(incoming: IncomingMessage): CallerRequest;
   /** Raw header pairs for a backend server. */
-  encodeForward(input: ForwardInput): string[];
-  decodeAnswer(incoming: IncomingMessage): AnswerHead;
+  encodeForwardHeaders(input: ForwardHeadersInput): string[];
+  decodeResponseHead(incoming: IncomingMessage): ResponseHead;
   /** Headers of an answer of our own. */
-  encodeOwnAnswer(
+  encodeLocalReplyHeaders(
     requestId: string | undefined,
     retryAfterMilliseconds: number | undefined,
   ): string[];
--- a/packages/forwarding/src/caller-answer.ts
+++ b/packages/forwarding/src/caller-response.ts
@@ -4,7 +4,7 @@
  */
 import type { ServerResponse } from 'node:http';
 
-export interface CallerAnswer {
+export interface CallerResponse {
   /** A whole answer at once. */
   send(status: number, headers: readonly string[], body: Buffer): void;
   begin(status: number, headers: readonly string[]): void;
@@ -13,31 +13,31 @@
   onDrain(listener: () => void): void;
   finish(): void;
   /** Ends the connection without ending the answer. */
-  breakOff(): void;
+  abort(): void;
   readonly hasBegun: boolean;
-  readonly isOver: boolean;
+  readonly isEnded: boolean;
   /** Calls back once when the caller closes its connection before the answer is complete. */
-  onGone(listener: () => void): void;
+  onDisconnect(listener: () => void): void;
   /** Whether the caller closed its connection before the answer was complete. */
-  readonly hasLeft: boolean;
+  readonly hasDisconnected: boolean;
   /** Status that was sent; 0 before. */
   readonly status: number;
 }
 
-export function createCallerAnswer(response: ServerResponse): CallerAnswer {
-  let over = false;
-  let gone = false;
-  let hasLeft = false;
+export function createCallerResponse(response: ServerResponse): CallerResponse {
+  let isEnded = false;
+  let isClosed = false;
+  let hasDisconnected = false;
   let status = 0;
-  const goneListeners: (() => void)[] = [];
+  const disconnectListeners: (() => void)[] = [];
 
   response.on('error', () => undefined);
   response.on('close', () => {
-    gone = true;
-    if (over) return;
-    over = true;
-    hasLeft = true;
-    for (const listener of goneListeners) listener();
+    isClosed = true;
+    if (isEnded) return;
+    isEnded = true;
+    hasDisconnected = true;
+    for (const listener of disconnectListeners) listener();
   });
 
   function begin(sentStatus: number, headers: readonly string[]): void {
@@ -48,45 +48,45 @@
 
   return {
     send(sentStatus, headers, body) {
-      if (over) return;
-      over = true;
+      if (isEnded) return;
+      isEnded = true;
       begin(sentStatus, headers);
       response.end(body);
     },
     begin(sentStatus, headers) {
-      if (!over) begin(sentStatus, headers);
+      if (!isEnded) begin(sentStatus, headers);
     },
     write(bytes) {
-      return over ? true : response.write(bytes);
+      return isEnded ? true : response.write(bytes);
     },
     onDrain(listener) {
       response.once('drain', listener);
     },
     finish() {
-      if (over) return;
-      over = true;
+      if (isEnded) return;
+      isEnded = true;
       response.end();
     },
-    breakOff() {
-      if (over) return;
-      over = true;
+    abort() {
+      if (isEnded) return;
+      isEnded = true;
       response.destroy();
     },
     get hasBegun() {
       return response.headersSent;
     },
-    get isOver() {
-      return over;
+    get isEnded() {
+      return isEnded;
     },
-    get hasLeft() {
-      return hasLeft;
+    get hasDisconnected() {
+      return hasDisconnected;
     },
     get status() {
       return status;
     },
-    onGone(listener) {
-      if (gone) listener();
-      else goneListeners.push(listener);
+    onDisconnect(listener) {
+      if (isClosed) listener();
+      else disconnectListeners.push(listener);
     },
   };
 }
--- a/packages/forwarding/src/choose-server.ts
+++ b/packages/forwarding/src/choose-server.ts
@@ -5,8 +5,8 @@
 import { planServer, ServerChoiceKind } from '@lapisbridge/routing';
 import type { ServerChoice, ServerView } from '@lapisbridge/routing';
 
-import { remainingOf } from './forward-context.js';
-import type { AcceptedRequest, ForwardContext, Progress } from './forward-context.js';
+import { computeRemainingMilliseconds } from './forward-context.js';
+import type { AcceptedRequest, ForwardContext, RequestProgress } from './forward-context.js';
 import { roundedOrNone } from './rounded-or-none.js';
 
 /** Reading speed of services without a model, which have no prompts. */
@@ -75,7 +75,7 @@
 export function chooseServer(
   context: ForwardContext,
   accepted: AcceptedRequest,
-  progress: Progress,
+  progress: RequestProgress,
   fits: (view: ServerView) => boolean = () => true,
 ): ChosenServer {
   const { views, byId, leaving } = viewsOf(context, accepted);
@@ -104,7 +104,7 @@
       cost: chosen ? Math.round(choice.cost) : undefined,
       outstanding: chosen ? choice.view.outstanding : undefined,
       slots: chosen ? choice.view.slots : undefined,
-      remaining: chosen ? remainingOf(context, accepted) : undefined,
+      remaining: chosen ? computeRemainingMilliseconds(context, accepted) : undefined,
       reportAge: chosen ? roundedOrNone(choice.view.reportAge) : undefined,
       silence: roundedOrNone(silence),
       suspicion: chosen ? Number(choice.view.suspicion.toFixed(2)) : undefined,
--- a/packages/forwarding/src/fixture-protocol.ts
+++ b/packages/forwarding/src/fixture-protocol.ts
@@ -12,7 +12,7 @@
     host: 'host',
     target: incoming.url ?? '/',
     key: incoming.headers.key as string | undefined,
-    patienceMilliseconds: Number(incoming.headers.patience ?? 5000),
+    callerTimeoutMilliseconds: Number(incoming.headers.patience ?? 5000),
     lastEventId:
       incoming.headers['last-event'] === undefined
         ? undefined
@@ -20,7 +20,7 @@
     promptTokens: 10,
     headers: ['Host', 'host', 'Request-Id', String(incoming.headers['request-id'])],
   }),
-  encodeForward: ({ request, server, lastEventId, bodyBytes, remainingMilliseconds }) => [
+  encodeForwardHeaders: ({ request, server, lastEventId, bodyBytes, remainingMilliseconds }) => [
     ...request.headers,
     'Server-Id',
     server.instanceId,
@@ -30,7 +30,7 @@
     String(bodyBytes),
     ...(lastEventId === undefined ? [] : ['Last-Event', String(lastEventId)]),
   ],
-  decodeAnswer: (incoming) => ({
+  decodeResponseHead: (incoming) => ({
     status: incoming.statusCode ?? 0,
     requestId: incoming.headers['request-id'] as string | undefined,
     isSigned: incoming.headers.signature !== undefined,
@@ -63,7 +63,7 @@
       incoming.headers['content-type'] ?? 'text/plain',
     ],
   }),
-  encodeOwnAnswer: (_requestId, retryAfter) => [
+  encodeLocalReplyHeaders: (_requestId, retryAfter) => [
     'Content-Length',
     '0',
     ...(retryAfter === undefined ? [] : ['Retry-After', String(retryAfter / 1000)]),
--- a/packages/forwarding/src/forward-context.ts
+++ b/packages/forwarding/src/forward-context.ts
@@ -6,7 +6,7 @@
 import type { Metrics } from '@lapisbridge/metrics';
 
 import type { ArrivalMeter } from './arrival-meter.js';
-import type { CallerAnswer } from './caller-answer.js';
+import type { CallerResponse } from './caller-response.js';
 import type { CallerProtocol, CallerRequest } from './caller-protocol.js';
 import type { ColdShare } from './cold-share.js';
 import type { GroupHealth } from './group-health.js';
@@ -49,7 +49,7 @@
   readonly arrivedAt: number;
   /** The route's timeout or the end of the caller's patience, whichever comes first. */
   readonly expiresAt: number;
-  readonly answer: CallerAnswer;
+  readonly response: CallerResponse;
   /** The caller was refused before, and does not come back another time. */
   readonly isRetry: boolean;
   /** Of the client account, or else of the route; 0 is served first. */
@@ -57,7 +57,7 @@
 }
 
 /** What has been tried so far. */
-export interface Progress {
+export interface RequestProgress {
   readonly tried: Set<string>;
   readonly outcomes: Outcome[];
   /** Attempts that reached a backend server and were not refused by it. */
@@ -65,10 +65,13 @@
   sends: number;
 }
 
-export function startProgress(): Progress {
+export function createProgress(): RequestProgress {
   return { tried: new Set(), outcomes: [], runs: 0, sends: 0 };
 }
 
-export function remainingOf(context: ForwardContext, accepted: AcceptedRequest): number {
+export function computeRemainingMilliseconds(
+  context: ForwardContext,
+  accepted: AcceptedRequest,
+): number {
   return Math.max(0, Math.floor(accepted.expiresAt - context.now()));
 }
--- a/packages/forwarding/src/forwarding-fixture.ts
+++ b/packages/forwarding/src/forwarding-fixture.ts
@@ -218,7 +218,7 @@
     port,
     context,
     isOutdated: () => false,
-    lingerMilliseconds: 0,
+    shutdownDelayMilliseconds: 0,
   });
   await listener.start();
   return {
--- a/packages/forwarding/src/head-fixture.ts
+++ b/packages/forwarding/src/head-fixture.ts
@@ -1,9 +1,9 @@
 /** Heads of answers, for tests of what servers state in them. */
 import { RateLimitKind, RetryAfterKind } from './caller-protocol.js';
-import type { AnswerHead } from './caller-protocol.js';
+import type { ResponseHead } from './caller-protocol.js';
 
 /** A whole answer to request `id` that states nothing, but for the given fields. */
-export function headWith(fields: Partial<AnswerHead> = {}): AnswerHead {
+export function headWith(fields: Partial<ResponseHead> = {}): ResponseHead {
   return {
     status: 200,
     requestId: 'id',
@@ -21,6 +21,6 @@
 }
 
 /** A refusal that states nothing, but for the given fields. */
-export function refusalWith(fields: Partial<AnswerHead> = {}): AnswerHead {
+export function refusalWith(fields: Partial<ResponseHead> = {}): ResponseHead {
   return headWith({ status: 503, notRun: true, ...fields });
 }
--- a/packages/forwarding/src/index.ts
+++ b/packages/forwarding/src/index.ts
@@ -7,10 +7,10 @@
 export type { CallerListener, CallerListenerOptions } from './caller-listener.js';
 export { RateLimitKind, RetryAfterKind } from './caller-protocol.js';
 export type {
-  AnswerHead,
+  ResponseHead,
   CallerProtocol,
   CallerRequest,
-  ForwardInput,
+  ForwardHeadersInput,
   ReportedLoad,
   StatedRateLimit,
   StatedRetryAfter,
--- a/packages/forwarding/src/open-forward.ts
+++ b/packages/forwarding/src/open-forward.ts
@@ -5,7 +5,7 @@
 
 import { openExchange } from './exchange.js';
 import type { Exchange, ExchangeListener } from './exchange.js';
-import { remainingOf } from './forward-context.js';
+import { computeRemainingMilliseconds } from './forward-context.js';
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
 import { planPriority, urgencyOf } from './plan-priority.js';
 
@@ -27,17 +27,17 @@
   const { request, body } = accepted;
   const urgency = urgencyOf({
     route: accepted.route,
-    hasBegun: accepted.answer.hasBegun,
+    hasBegun: accepted.response.hasBegun,
     isMoved,
     isRetry: accepted.isRetry,
     idleMilliseconds: context.now() - accepted.arrivedAt,
   });
-  const headers = context.protocol.encodeForward({
+  const headers = context.protocol.encodeForwardHeaders({
     request,
     priority: planPriority(accepted.priority, urgency),
     server,
     account: accepted.account,
-    remainingMilliseconds: remainingOf(context, accepted),
+    remainingMilliseconds: computeRemainingMilliseconds(context, accepted),
     lastEventId,
     bodyBytes: body.length,
   });
--- a/packages/forwarding/src/outcome.ts
+++ b/packages/forwarding/src/outcome.ts
@@ -4,7 +4,7 @@
  * answer is `Unknown`. A refusal that promises "not run" takes a `NotRunProof`, which cannot be
  * had from an unknown outcome.
  */
-import type { AnswerHead } from './caller-protocol.js';
+import type { ResponseHead } from './caller-protocol.js';
 
 export enum OutcomeKind {
   Answered = 'answered',
@@ -26,7 +26,7 @@
 
 export interface Answered {
   readonly kind: OutcomeKind.Answered;
-  readonly head: AnswerHead;
+  readonly head: ResponseHead;
   readonly body: Buffer;
 }
 
--- a/packages/forwarding/src/own-answer.ts
+++ b/packages/forwarding/src/own-answer.ts
@@ -6,7 +6,7 @@
 import type { NotRunProof } from './outcome.js';
 import { planRetryAfter } from './plan-retry-after.js';
 import type { RefusalCause } from './plan-retry-after.js';
-import { remainingOf } from './forward-context.js';
+import { computeRemainingMilliseconds } from './forward-context.js';
 
 const SERVICE_UNAVAILABLE = 503;
 const BAD_GATEWAY = 502;
@@ -18,8 +18,11 @@
   status: number,
   retryAfterMilliseconds: number | undefined,
 ): void {
-  const headers = context.protocol.encodeOwnAnswer(accepted.requestId, retryAfterMilliseconds);
-  accepted.answer.send(status, headers, Buffer.alloc(0));
+  const headers = context.protocol.encodeLocalReplyHeaders(
+    accepted.requestId,
+    retryAfterMilliseconds,
+  );
+  accepted.response.send(status, headers, Buffer.alloc(0));
 }
 
 /**
@@ -33,7 +36,7 @@
   proof: NotRunProof,
   likelyMilliseconds?: number,
 ): void {
-  const remaining = remainingOf(context, accepted);
+  const remaining = computeRemainingMilliseconds(context, accepted);
   const retryAfter = planRetryAfter({
     cause,
     remainingMilliseconds: remaining,
@@ -60,8 +63,8 @@
     kind: EndKind.Failure,
     choice: isTimeout ? 'timeout' : 'unknown',
     reason,
-    facts: { hasBegun: accepted.answer.hasBegun },
+    facts: { hasBegun: accepted.response.hasBegun },
   });
-  if (accepted.answer.hasBegun) accepted.answer.breakOff();
+  if (accepted.response.hasBegun) accepted.response.abort();
   else sendOwn(context, accepted, isTimeout ? GATEWAY_TIMEOUT : BAD_GATEWAY, undefined);
 }
--- a/packages/forwarding/src/plain-attempt.ts
+++ b/packages/forwarding/src/plain-attempt.ts
@@ -4,7 +4,7 @@
  */
 import type { BackendServer } from '@lapisbridge/catalog';
 
-import type { AnswerHead } from './caller-protocol.js';
+import type { ResponseHead } from './caller-protocol.js';
 import { describeRefusal, doubtHead, provesNotRun } from './answer-head.js';
 import { ExchangeEndKind } from './exchange.js';
 import type { Exchange, ExchangeEnd } from './exchange.js';
@@ -25,7 +25,7 @@
 const MAXIMUM_ANSWER_BYTES = 8 * 1024 * 1024;
 function judge(
   end: ExchangeEnd,
-  head: AnswerHead | undefined,
+  head: ResponseHead | undefined,
   body: Buffer,
   requestId: string,
 ): Outcome {
@@ -79,7 +79,7 @@
   const { ledger, liveness, protocol } = context;
   const { request, requestId } = accepted;
   const startedAt = context.now();
-  let head: AnswerHead | undefined;
+  let head: ResponseHead | undefined;
   const chunks: Buffer[] = [];
   let size = 0;
   let exchange: Exchange | undefined;
@@ -100,7 +100,7 @@
       {
         onHead(incoming) {
           liveness.heard(server.instanceId);
-          head = protocol.decodeAnswer(incoming);
+          head = protocol.decodeResponseHead(incoming);
           if (head.load !== undefined) ledger.reported(server.instanceId, head.load);
           context.statements.onAnswer({ server, head, requestId, sentAt: startedAt });
         },
--- a/packages/forwarding/src/plan-wait.ts
+++ b/packages/forwarding/src/plan-wait.ts
@@ -6,7 +6,7 @@
  */
 import type { Route } from '@lapisbridge/catalog';
 
-import { planReplyMargin } from './reply-margin.js';
+import { computeReplyMargin } from './reply-margin.js';
 
 /** Callers leave a stream after the longest of a time, some objectives and some pauses. */
 const PATIENCE_MILLISECONDS = 2000;
@@ -39,7 +39,7 @@
  */
 export function planEventTimeout(route: Route): number {
   const patience = callerPatience(route);
-  return patience - planReplyMargin(patience);
+  return patience - computeReplyMargin(patience);
 }
 
 /**
--- a/packages/forwarding/src/play-rate-limit.ts
+++ b/packages/forwarding/src/play-rate-limit.ts
@@ -7,7 +7,7 @@
 import { rendezvousOrder } from '@lapisbridge/routing';
 
 import { RateLimitKind } from './caller-protocol.js';
-import type { AnswerHead } from './caller-protocol.js';
+import type { ResponseHead } from './caller-protocol.js';
 import { headWith } from './head-fixture.js';
 import { createServerRateLimits } from './server-rate-limits.js';
 import type { RateLimitStatement, ServerRateLimits } from './server-rate-limits.js';
@@ -64,7 +64,7 @@
   run(): void;
 }
 
-function headStating(requestsPerSecond: number | undefined): AnswerHead {
+function headStating(requestsPerSecond: number | undefined): ResponseHead {
   if (requestsPerSecond === undefined) return headWith();
   return headWith({ rateLimit: { kind: RateLimitKind.Stated, requestsPerSecond } });
 }
--- a/packages/forwarding/src/reply-margin.ts
+++ b/packages/forwarding/src/reply-margin.ts
@@ -4,10 +4,10 @@
  * server that cannot be reached just then works on for nobody. Pure.
  */
 
-const LONGEST_MARGIN_MILLISECONDS = 50;
-const MARGIN_SHARE = 0.1;
+const MAXIMUM_MARGIN_MILLISECONDS = 50;
+const MARGIN_RATIO = 0.1;
 
 /** Milliseconds before the end of the caller's patience at which an answer of our own is sent. */
-export function planReplyMargin(patienceMilliseconds: number): number {
-  return Math.min(LONGEST_MARGIN_MILLISECONDS, patienceMilliseconds * MARGIN_SHARE);
+export function computeReplyMargin(callerTimeoutMilliseconds: number): number {
+  return Math.min(MAXIMUM_MARGIN_MILLISECONDS, callerTimeoutMilliseconds * MARGIN_RATIO);
 }
--- a/packages/forwarding/src/serve-plain.ts
+++ b/packages/forwarding/src/serve-plain.ts
@@ -8,7 +8,7 @@
 import type { ServerChoice } from '@lapisbridge/routing';
 
 import { chooseServer } from './choose-server.js';
-import { remainingOf, startProgress } from './forward-context.js';
+import { computeRemainingMilliseconds, createProgress } from './forward-context.js';
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
 import { lateMilliseconds } from './late-answer.js';
 import { EndKind, noteOutcome } from './note-outcome.js';
@@ -61,8 +61,8 @@
   context: ForwardContext,
   accepted: AcceptedRequest,
 ): Promise<void> {
-  const { route, service, answer } = accepted;
-  const progress = startProgress();
+  const { route, service, response } = accepted;
+  const progress = createProgress();
   const running = new Set<RunningAttempt>();
   let failedAnswer: Answered | undefined;
   let isExpired = false;
@@ -73,7 +73,7 @@
     for (const attempt of running) attempt.cancel(reason);
   }
 
-  answer.onGone(() => {
+  response.onDisconnect(() => {
     cancelAll('caller gone');
     wake?.();
   });
@@ -82,7 +82,7 @@
       isExpired = true;
       wake?.();
     },
-    remainingOf(context, accepted),
+    computeRemainingMilliseconds(context, accepted),
   );
 
   /** Milliseconds to wait for room at a server; 0 where it comes too late for the caller. */
@@ -91,7 +91,7 @@
       route,
       isRetry: accepted.isRetry,
       idleMilliseconds: context.now() - accepted.arrivedAt,
-      remainingMilliseconds: remainingOf(context, accepted),
+      remainingMilliseconds: computeRemainingMilliseconds(context, accepted),
       roomInMilliseconds,
     });
     context.logger.decision({
@@ -133,7 +133,7 @@
   /** Starts one more attempt, or says why none can be started. */
   function startNext(): Start {
     if (progress.sends >= MAXIMUM_SENDS) return none(RefusalCause.Full);
-    if (remainingOf(context, accepted) < SHORTEST_ATTEMPT_MILLISECONDS) {
+    if (computeRemainingMilliseconds(context, accepted) < SHORTEST_ATTEMPT_MILLISECONDS) {
       return none(RefusalCause.Expired);
     }
     const { choice, server } = chooseServer(context, accepted, progress);
@@ -180,7 +180,7 @@
         sends: progress.sends,
       },
     });
-    answer.send(outcome.head.status, outcome.head.headers, outcome.body);
+    response.send(outcome.head.status, outcome.head.headers, outcome.body);
   }
 
   function conclude(
@@ -202,7 +202,7 @@
   let lastAttempt: RunningAttempt | undefined;
   try {
     for (;;) {
-      if (answer.isOver) return;
+      if (response.isEnded) return;
       if (running.size === 0) {
         const start = startNext();
         if (start.kind === StartKind.None) {
@@ -217,7 +217,7 @@
       const canHedge = mayRepeat && !hedged && progress.runs < route.maximumAttempts;
       const lateAfter = canHedge ? lateMilliseconds(route) : Infinity;
       const settled = await nextSettled(lateAfter);
-      if (answer.isOver) return;
+      if (response.isEnded) return;
       if (settled === 'stopped') {
         const unsettled: Outcome = { kind: OutcomeKind.Unknown, reason: 'no answer in time' };
         if (isExpired) {
--- a/packages/forwarding/src/serve-stream.ts
+++ b/packages/forwarding/src/serve-stream.ts
@@ -7,7 +7,7 @@
 import type { ServerView } from '@lapisbridge/routing';
 
 import { chooseServer } from './choose-server.js';
-import { remainingOf, startProgress } from './forward-context.js';
+import { computeRemainingMilliseconds, createProgress } from './forward-context.js';
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
 import { EndKind, noteOutcome } from './note-outcome.js';
 import { describeOutcome, OutcomeKind, proveNotRun } from './outcome.js';
@@ -79,8 +79,8 @@
   context: ForwardContext,
   accepted: AcceptedRequest,
 ): Promise<void> {
-  const { answer, route, service } = accepted;
-  const progress = startProgress();
+  const { response, route, service } = accepted;
+  const progress = createProgress();
   const record = createStreamRecord(context, accepted);
   const state: StreamState = {
     groupRefusals: 0,
@@ -102,7 +102,7 @@
       expectedStreams: expected,
       typicalMilliseconds,
       reportAge,
-      hasBegun: answer.hasBegun,
+      hasBegun: response.hasBegun,
       isMoved: state.isMoved,
       isRetry: accepted.isRetry,
       idleMilliseconds: record.idleMilliseconds(),
@@ -182,7 +182,7 @@
   /** `delay` is what kept the stream from being sent at last. */
   function conclude(cause: RefusalCause, delay?: Delay): void {
     const reason = progress.outcomes.map(describeOutcome).join('; ') || cause;
-    const proof = answer.hasBegun ? undefined : proveNotRun(progress.outcomes, reason);
+    const proof = response.hasBegun ? undefined : proveNotRun(progress.outcomes, reason);
     if (proof === undefined) {
       fail(context, accepted, reason, state.timeout !== undefined);
       return;
@@ -198,7 +198,7 @@
 
   /** A stream that has begun may still go on at a server that is there, up to its last moment. */
   function mayTimeOut(): boolean {
-    if (!answer.hasBegun || state.isMoved) return true;
+    if (!response.hasBegun || state.isMoved) return true;
     return state.server !== undefined && context.liveness.isSilent(state.server);
   }
 
@@ -209,16 +209,16 @@
     else eventTimeout = setTimeout(watchPauses, Math.max(left, RECHECK_MILLISECONDS));
   }
 
-  answer.onGone(() => state.current?.cancel('caller gone'));
+  response.onDisconnect(() => state.current?.cancel('caller gone'));
   const expiry = setTimeout(
     () => timeOut(RefusalCause.Expired, 'time is up'),
-    remainingOf(context, accepted),
+    computeRemainingMilliseconds(context, accepted),
   );
   let eventTimeout: NodeJS.Timeout | undefined;
   watchPauses();
   try {
     for (;;) {
-      if (answer.isOver) return;
+      if (response.isEnded) return;
       const start = startNext();
       if (start.kind === StartKind.Delayed) {
         const { delay } = start;
@@ -249,20 +249,20 @@
       state.current = undefined;
       if (end.kind !== StreamEndKind.Complete) noteMiss(server, end);
       state.isMoved ||= context.liveness.isSilent(server);
-      if (answer.isOver) return;
+      if (response.isEnded) return;
       progress.outcomes.push(toOutcome(end));
       switch (end.kind) {
         case StreamEndKind.Complete:
-          noteAnswer(server, answer.status);
-          answer.finish();
+          noteAnswer(server, response.status);
+          response.finish();
           return;
         case StreamEndKind.Answered:
-          if (answer.hasBegun) {
+          if (response.hasBegun) {
             conclude(RefusalCause.Full);
             return;
           }
           noteAnswer(server, end.head.status);
-          answer.send(end.head.status, end.head.headers, end.body);
+          response.send(end.head.status, end.head.headers, end.body);
           return;
         case StreamEndKind.NotRun:
           progress.runs -= 1;
--- a/packages/forwarding/src/server-backoffs.test.ts
+++ b/packages/forwarding/src/server-backoffs.test.ts
@@ -2,12 +2,12 @@
 import { beforeEach, describe, expect, it } from 'vitest';
 
 import { RetryAfterKind } from './caller-protocol.js';
-import type { AnswerHead, StatedRetryAfter } from './caller-protocol.js';
+import type { ResponseHead, StatedRetryAfter } from './caller-protocol.js';
 import { refusalWith } from './head-fixture.js';
 import { createServerBackoffs } from './server-backoffs.js';
 import type { ServerBackoffs } from './server-backoffs.js';
 
-function refusal(retryAfter: StatedRetryAfter, status = 503): AnswerHead {
+function refusal(retryAfter: StatedRetryAfter, status = 503): ResponseHead {
   return refusalWith({ status, retryAfter, notRun: status === 503 });
 }
 
@@ -48,7 +48,7 @@
   it('are asked for by 503 alone, in a time that can be read and is above 0', () => {
     backoffs.onAnswer('server', refusal(after(3000), 200));
     backoffs.onAnswer('server', refusal(after(3000), 429));
-    backoffs.onAnswer('server', refusal({ kind: RetryAfterKind.Unreadable }));
+    backoffs.onAnswer('server', refusal({ kind: RetryAfterKind.Malformed }));
     backoffs.onAnswer('server', refusal(after(0)));
     expect(backoffs.remainingMilliseconds('server')).toBe(0);
   });
--- a/packages/forwarding/src/server-backoffs.ts
+++ b/packages/forwarding/src/server-backoffs.ts
@@ -5,12 +5,12 @@
 import type { Logger } from '@lapisbridge/logger';
 
 import { RetryAfterKind } from './caller-protocol.js';
-import type { AnswerHead } from './caller-protocol.js';
+import type { ResponseHead } from './caller-protocol.js';
 import type { StandingStatement } from './standing-statement.js';
 
 export interface ServerBackoffs {
   /** Takes what a server's answer states; the answer has to be the server's own. */
-  onAnswer(instanceId: string, head: AnswerHead): void;
+  onAnswer(instanceId: string, head: ResponseHead): void;
   /** Milliseconds until the server may be sent to again; 0 for now. */
   remainingMilliseconds(instanceId: string): number;
   noteSent(instanceId: string): void;
@@ -46,7 +46,7 @@
       switch (retryAfter.kind) {
         case RetryAfterKind.None:
           return;
-        case RetryAfterKind.Unreadable:
+        case RetryAfterKind.Malformed:
           logger.warn('server backoff unreadable', { server: instanceId });
           return;
         case RetryAfterKind.Stated:
--- a/packages/forwarding/src/server-departures.ts
+++ b/packages/forwarding/src/server-departures.ts
@@ -5,12 +5,12 @@
 import type { BackendServer } from '@lapisbridge/catalog';
 import type { Logger } from '@lapisbridge/logger';
 
-import type { AnswerHead } from './caller-protocol.js';
+import type { ResponseHead } from './caller-protocol.js';
 import type { StandingStatement } from './standing-statement.js';
 
 export interface ServerDepartures {
   /** Takes what a server's answer states; the answer has to be the server's own. */
-  onAnswer(server: BackendServer, head: AnswerHead): void;
+  onAnswer(server: BackendServer, head: ResponseHead): void;
   isLeaving(server: BackendServer): boolean;
   /** Servers that leave and are not gone for long. */
   list(): StandingStatement[];
--- a/packages/forwarding/src/server-rate-limits.test.ts
+++ b/packages/forwarding/src/server-rate-limits.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 
 import { RateLimitKind } from './caller-protocol.js';
-import type { AnswerHead, StatedRateLimit } from './caller-protocol.js';
+import type { ResponseHead, StatedRateLimit } from './caller-protocol.js';
 import { headWith } from './head-fixture.js';
 import { createServerRateLimits } from './server-rate-limits.js';
 import type { ServerRateLimits } from './server-rate-limits.js';
@@ -31,7 +31,7 @@
     return limits;
   }
 
-  function answer(limits: ServerRateLimits, stating: AnswerHead, sentAt: number): void {
+  function answer(limits: ServerRateLimits, stating: ResponseHead, sentAt: number): void {
     limits.onAnswer({ instanceId: 'server', head: stating, sentAt });
   }
 
@@ -63,7 +63,7 @@
 
   it('are not lifted by a statement that cannot be read', () => {
     const limits = limited();
-    answer(limits, headWith({ rateLimit: { kind: RateLimitKind.Unreadable } }), 1050);
+    answer(limits, headWith({ rateLimit: { kind: RateLimitKind.Malformed } }), 1050);
     expect(limits.limitOf('server')).toBe(1.5);
   });
 
--- a/packages/forwarding/src/server-rate-limits.ts
+++ b/packages/forwarding/src/server-rate-limits.ts
@@ -7,7 +7,7 @@
 
 import { isSuccess } from './answer-head.js';
 import { RateLimitKind } from './caller-protocol.js';
-import type { AnswerHead } from './caller-protocol.js';
+import type { ResponseHead } from './caller-protocol.js';
 import { planRateLimitRoom } from './plan-rate-limit-room.js';
 import { createSenderRanks } from './sender-rank.js';
 import type { SendingEntries } from './sender-rank.js';
@@ -24,7 +24,7 @@
 /** One answer, which has to be the server's own. */
 export interface RateLimitedAnswer {
   readonly instanceId: string;
-  readonly head: AnswerHead;
+  readonly head: ResponseHead;
   /** Time of the request that it answers. */
   readonly sentAt: number;
 }
@@ -125,7 +125,7 @@
           take(instanceId, undefined, now(), Source.Answer);
           return;
         }
-        case RateLimitKind.Unreadable:
+        case RateLimitKind.Malformed:
           logger.warn('server rate limit unreadable', { server: instanceId });
           return;
         default: {
--- a/packages/forwarding/src/server-statements.test.ts
+++ b/packages/forwarding/src/server-statements.test.ts
@@ -3,7 +3,7 @@
 
 import { serverWith } from './backend-server-fixture.js';
 import { RateLimitKind, RetryAfterKind } from './caller-protocol.js';
-import type { AnswerHead } from './caller-protocol.js';
+import type { ResponseHead } from './caller-protocol.js';
 import { headWith, refusalWith } from './head-fixture.js';
 import { createServerBackoffs } from './server-backoffs.js';
 import { createServerDepartures } from './server-departures.js';
@@ -14,7 +14,7 @@
 const SERVER = serverWith();
 
 /** States all that a server can state. */
-const STATING: Partial<AnswerHead> = {
+const STATING: Partial<ResponseHead> = {
   rateLimit: { kind: RateLimitKind.Stated, requestsPerSecond: 0.5 },
   retryAfter: { kind: RetryAfterKind.Stated, milliseconds: 3000 },
   isLeaving: true,
@@ -38,7 +38,7 @@
     });
   });
 
-  function answer(head: AnswerHead): void {
+  function answer(head: ResponseHead): void {
     statements.onAnswer({ server: SERVER, head, requestId: 'id', sentAt: 900 });
   }
 
--- a/packages/forwarding/src/server-statements.ts
+++ b/packages/forwarding/src/server-statements.ts
@@ -6,7 +6,7 @@
 import type { BackendServer } from '@lapisbridge/catalog';
 
 import { speaksForServer } from './answer-head.js';
-import type { AnswerHead } from './caller-protocol.js';
+import type { ResponseHead } from './caller-protocol.js';
 import type { ServerBackoffs } from './server-backoffs.js';
 import type { ServerDepartures } from './server-departures.js';
 import type { ServerRateLimits } from './server-rate-limits.js';
@@ -14,7 +14,7 @@
 /** One answer of a server. */
 export interface StatingAnswer {
   readonly server: BackendServer;
-  readonly head: AnswerHead;
+  readonly head: ResponseHead;
   /** Id and time of the request that it answers. */
   readonly requestId: string;
   readonly sentAt: number;
--- a/packages/forwarding/src/stream-attempt.ts
+++ b/packages/forwarding/src/stream-attempt.ts
@@ -5,7 +5,7 @@
 import type { BackendServer } from '@lapisbridge/catalog';
 
 import { describeRefusal, doubtHead, isSuccess, provesNotRun } from './answer-head.js';
-import type { AnswerHead } from './caller-protocol.js';
+import type { ResponseHead } from './caller-protocol.js';
 import { createEventSplitter } from './event-splitter.js';
 import type { StreamEvent } from './event-splitter.js';
 import { ExchangeEndKind } from './exchange.js';
@@ -26,7 +26,7 @@
 
 export type StreamEnd =
   | { readonly kind: StreamEndKind.Complete }
-  | { readonly kind: StreamEndKind.Answered; readonly head: AnswerHead; readonly body: Buffer }
+  | { readonly kind: StreamEndKind.Answered; readonly head: ResponseHead; readonly body: Buffer }
   | {
       readonly kind: StreamEndKind.NotRun;
       readonly reason: string;
@@ -40,7 +40,7 @@
   /** Last event that the caller has. */
   lastEventId(): number | undefined;
   /** Takes one event in order; false asks to pause until `onDrain`. */
-  onEvent(head: AnswerHead, event: StreamEvent): boolean;
+  onEvent(head: ResponseHead, event: StreamEvent): boolean;
   onDrain(listener: () => void): void;
 }
 
@@ -79,7 +79,7 @@
   const splitter = createEventSplitter();
   const failureBody: Buffer[] = [];
   let failureBytes = 0;
-  let head: AnswerHead | undefined;
+  let head: ResponseHead | undefined;
   let doubt: string | undefined;
   let wasAnswered = false;
   let exchange: Exchange | undefined;
@@ -89,7 +89,7 @@
     exchange?.cancel(reason);
   }
 
-  function takeEvent(streamHead: AnswerHead, event: StreamEvent): void {
+  function takeEvent(streamHead: ResponseHead, event: StreamEvent): void {
     if (doubt !== undefined) return;
     pulse.beat(accepted.service, server.instanceId);
     liveness.heard(server.instanceId);
@@ -194,7 +194,7 @@
       {
         onHead(incoming) {
           liveness.heard(server.instanceId);
-          head = protocol.decodeAnswer(incoming);
+          head = protocol.decodeResponseHead(incoming);
           if (head.load !== undefined) ledger.reported(server.instanceId, head.load);
           context.statements.onAnswer({ server, head, requestId, sentAt: startedAt });
           if (provesNotRun(head)) return;
--- a/packages/forwarding/src/stream-delay.ts
+++ b/packages/forwarding/src/stream-delay.ts
@@ -5,7 +5,7 @@
 import { ServerChoiceKind } from '@lapisbridge/routing';
 import type { ServerChoice } from '@lapisbridge/routing';
 
-import { remainingOf } from './forward-context.js';
+import { computeRemainingMilliseconds } from './forward-context.js';
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
 import { planCrowdWait } from './plan-offer.js';
 import { RefusalCause } from './plan-retry-after.js';
@@ -138,8 +138,8 @@
   const situation = {
     idleMilliseconds,
     isMoved,
-    remainingMilliseconds: remainingOf(context, accepted),
-    hasBegun: accepted.answer.hasBegun,
+    remainingMilliseconds: computeRemainingMilliseconds(context, accepted),
+    hasBegun: accepted.response.hasBegun,
   };
   const wait = planDelay(accepted, delay, situation);
   const { kind } = delay;
--- a/packages/forwarding/src/stream-record.ts
+++ b/packages/forwarding/src/stream-record.ts
@@ -3,7 +3,7 @@
  */
 import { LatencyKind } from '@lapisbridge/metrics';
 
-import type { AnswerHead } from './caller-protocol.js';
+import type { ResponseHead } from './caller-protocol.js';
 import type { StreamEvent } from './event-splitter.js';
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
 import type { RequestEnd } from './note-outcome.js';
@@ -28,19 +28,19 @@
   context: ForwardContext,
   accepted: AcceptedRequest,
 ): StreamRecord {
-  const { answer, route, request, arrivedAt } = accepted;
+  const { response, route, request, arrivedAt } = accepted;
   let { lastEventId } = request;
   let lastEventAt = context.now();
   let isBackedUp = false;
   let firstEventMilliseconds: number | undefined;
   let longestPauseMilliseconds = 0;
 
-  function noteEvent(head: AnswerHead): void {
+  function noteEvent(head: ResponseHead): void {
     const at = context.now();
-    if (answer.hasBegun) {
+    if (response.hasBegun) {
       longestPauseMilliseconds = Math.max(longestPauseMilliseconds, at - lastEventAt);
     } else {
-      answer.begin(head.status, head.headers);
+      response.begin(head.status, head.headers);
       firstEventMilliseconds = at - arrivedAt;
       context.metrics.observe(LatencyKind.FirstEvent, firstEventMilliseconds);
     }
@@ -50,14 +50,14 @@
   return {
     sink: {
       lastEventId: () => lastEventId,
-      onEvent(head: AnswerHead, event: StreamEvent) {
+      onEvent(head: ResponseHead, event: StreamEvent) {
         noteEvent(head);
         lastEventId = event.id ?? lastEventId;
-        isBackedUp = !answer.write(event.bytes);
+        isBackedUp = !response.write(event.bytes);
         return !isBackedUp;
       },
       onDrain(listener) {
-        answer.onDrain(() => {
+        response.onDrain(() => {
           isBackedUp = false;
           lastEventAt = context.now();
           listener();
--- a/packages/forwarding/src/stuck-watch.ts
+++ b/packages/forwarding/src/stuck-watch.ts
@@ -25,12 +25,12 @@
 function isStuck({ context, accepted, server, idleMilliseconds }: StuckWatchOptions): boolean {
   const isSilent = context.liveness.isSilent(server);
   // A stream that has not begun loses only its place in a queue that does not move.
-  if (isSilent && !accepted.answer.hasBegun) return true;
+  if (isSilent && !accepted.response.hasBegun) return true;
   if (idleMilliseconds() < SILENCE_MILLISECONDS) return false;
   if (isSilent) return true;
   // Where requests wait their turn, silence is no sign of a fault, and whoever is sent to the end
   // of another queue loses the place that it has.
-  const isWaiting = !accepted.answer.hasBegun && context.ledger.isQueueing(server.instanceId);
+  const isWaiting = !accepted.response.hasBegun && context.ledger.isQueueing(server.instanceId);
   if (isWaiting) return false;
   return context.pulse.isStuck(accepted.service, server.instanceId, SILENCE_MILLISECONDS);
 }
