--- a/packages/forwarding/src/caller-listener.ts
+++ b/packages/forwarding/src/caller-listener.ts
@@ -13,7 +13,7 @@
 import type { CallerResponse } from './caller-response.js';
 import type { CallerRequest } from './caller-protocol.js';
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
-import { EndKind, noteOutcome } from './note-outcome.js';
+import { logRequestEnd, RequestEndKind } from './request-end.js';
 import { planRetryAfter, RefusalCause } from './plan-retry-after.js';
 import { createReturnWatch } from './return-watch.js';
 import { servePlain } from './serve-plain.js';
@@ -113,8 +113,8 @@
   }
 
   function logCallerDisconnect(accepted: AcceptedRequest): void {
-    noteOutcome(context, accepted, {
-      kind: EndKind.Gone,
+    logRequestEnd(context, accepted, {
+      kind: RequestEndKind.CallerDisconnected,
       choice: 'caller',
       reason: 'the caller left',
       facts: { hasBegun: accepted.response.hasBegun },
--- a/packages/forwarding/src/exchange.ts
+++ b/packages/forwarding/src/exchange.ts
@@ -14,7 +14,7 @@
   /** The request never left this process. */
   NotSent = 'notSent',
   /** The request may have run; the answer is missing or broken off. */
-  Broken = 'broken',
+  Incomplete = 'broken',
   /** This process gave the exchange up. */
   Cancelled = 'cancelled',
 }
@@ -40,7 +40,7 @@
   /** Raw pairs. */
   readonly headers: readonly string[];
   readonly body: Buffer;
-  readonly connectMilliseconds: number;
+  readonly connectTimeoutMilliseconds: number;
 }
 
 export interface Exchange {
@@ -50,18 +50,18 @@
 }
 
 /** First probe of an idle connection; a peer without power never answers on its own. */
-const KEEP_ALIVE_MILLISECONDS = 1000;
+const TCP_KEEP_ALIVE_MILLISECONDS = 1000;
 
 /** An answer with neither a length nor chunks ends with its connection. */
-function endsWithConnection({ headers }: IncomingMessage): boolean {
+function isCloseDelimited({ headers }: IncomingMessage): boolean {
   return headers['content-length'] === undefined && headers['transfer-encoding'] === undefined;
 }
 
 export function openExchange(options: ExchangeOptions, listener: ExchangeListener): Exchange {
   let ended = false;
   let connected = false;
-  let isProbing = false;
-  let answer: IncomingMessage | undefined;
+  let isCheckingReset = false;
+  let response: IncomingMessage | undefined;
   let connectTimer: NodeJS.Timeout | undefined;
   let request: ClientRequest | undefined;
 
@@ -74,7 +74,7 @@
   }
 
   function fail(reason: string): void {
-    end(connected ? ExchangeEndKind.Broken : ExchangeEndKind.NotSent, reason);
+    end(connected ? ExchangeEndKind.Incomplete : ExchangeEndKind.NotSent, reason);
   }
 
   /**
@@ -83,9 +83,9 @@
    * for the whole; only a write then still fails with it. An empty line does no harm: servers
    * skip it, and this one has closed its side.
    */
-  function probeReset(socket: Socket): void {
-    if (answer === undefined || !endsWithConnection(answer)) return;
-    isProbing = true;
+  function checkForReset(socket: Socket): void {
+    if (response === undefined || !isCloseDelimited(response)) return;
+    isCheckingReset = true;
     socket.write('\r\n', (error) => {
       if (error === null || error === undefined) end(ExchangeEndKind.Complete, 'whole answer');
       else fail(`reset at the end: ${error.message}`);
@@ -94,30 +94,30 @@
 
   function onSocket(socket: Socket): void {
     socket.setNoDelay(true);
-    socket.setKeepAlive(true, KEEP_ALIVE_MILLISECONDS);
+    socket.setKeepAlive(true, TCP_KEEP_ALIVE_MILLISECONDS);
     // Node.js ends an answer without a length as complete when its connection is reset, before
     // it tells of the error; half an answer would pass for the whole. So this listener is first.
     socket.prependListener('error', (error) => fail(error.message));
-    socket.prependListener('end', () => probeReset(socket));
+    socket.prependListener('end', () => checkForReset(socket));
     socket.once('connect', () => {
       connected = true;
       clearTimeout(connectTimer);
     });
   }
 
-  function onAnswer(incoming: IncomingMessage): void {
+  function onResponse(incoming: IncomingMessage): void {
     if (ended) return;
-    answer = incoming;
+    response = incoming;
     incoming.on('data', (chunk: Buffer) => {
       if (!ended) listener.onData(chunk);
     });
     incoming.on('end', () => {
       if (!incoming.complete) fail('answer broken off');
-      else if (!isProbing) end(ExchangeEndKind.Complete, 'whole answer');
+      else if (!isCheckingReset) end(ExchangeEndKind.Complete, 'whole answer');
     });
     incoming.on('error', (error) => fail(error.message));
     incoming.on('close', () => {
-      if (!isProbing) fail('connection closed within the answer');
+      if (!isCheckingReset) fail('connection closed within the answer');
     });
     listener.onHead(incoming);
   }
@@ -141,12 +141,12 @@
     setImmediate(() => {
       if (!connected) fail('no connection in time');
     });
-  }, options.connectMilliseconds);
+  }, options.connectTimeoutMilliseconds);
   request.on('socket', onSocket);
-  request.on('response', onAnswer);
+  request.on('response', onResponse);
   request.on('error', (error) => fail(error.message));
   request.on('close', () => {
-    if (!isProbing) fail('connection closed without an answer');
+    if (!isCheckingReset) fail('connection closed without an answer');
   });
   request.end(options.body);
   return {
@@ -154,10 +154,10 @@
       end(connected ? ExchangeEndKind.Cancelled : ExchangeEndKind.NotSent, reason);
     },
     pause() {
-      answer?.pause();
+      response?.pause();
     },
     resume() {
-      answer?.resume();
+      response?.resume();
     },
   };
 }
--- a/packages/forwarding/src/late-answer.ts
+++ b/packages/forwarding/src/late-threshold.ts
@@ -4,9 +4,9 @@
  */
 import type { Route } from '@lapisbridge/catalog';
 
-const OBJECTIVES = 1.5;
+const OBJECTIVE_MULTIPLE = 1.5;
 
 /** Milliseconds after which an answer is late. */
-export function lateMilliseconds({ objectiveMilliseconds }: Route): number {
-  return objectiveMilliseconds * OBJECTIVES;
+export function lateThresholdMilliseconds({ objectiveMilliseconds }: Route): number {
+  return objectiveMilliseconds * OBJECTIVE_MULTIPLE;
 }
--- a/packages/forwarding/src/own-answer.ts
+++ b/packages/forwarding/src/local-reply.ts
@@ -2,7 +2,7 @@
  * Answers of this entry's own. Statuses that promise "not run" take the proof of it.
  */
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
-import { EndKind, noteOutcome } from './note-outcome.js';
+import { logRequestEnd, RequestEndKind } from './request-end.js';
 import type { NotRunProof } from './outcome.js';
 import { planRetryAfter } from './plan-retry-after.js';
 import type { RefusalCause } from './plan-retry-after.js';
@@ -12,7 +12,7 @@
 const BAD_GATEWAY = 502;
 const GATEWAY_TIMEOUT = 504;
 
-function sendOwn(
+function sendLocalReply(
   context: ForwardContext,
   accepted: AcceptedRequest,
   status: number,
@@ -29,42 +29,42 @@
  * Refuses a request that has not run, and says when it is likely to be served: within
  * `likelyMilliseconds`, or else as usual for the cause.
  */
-export function refuse(
+export function refuseRequest(
   context: ForwardContext,
   accepted: AcceptedRequest,
   cause: RefusalCause,
   proof: NotRunProof,
-  likelyMilliseconds?: number,
+  expectedWaitMilliseconds?: number,
 ): void {
   const remaining = computeRemainingMilliseconds(context, accepted);
   const retryAfter = planRetryAfter({
     cause,
     remainingMilliseconds: remaining,
     random: context.random(),
-    likelyMilliseconds,
+    likelyMilliseconds: expectedWaitMilliseconds,
   });
-  noteOutcome(context, accepted, {
-    kind: EndKind.Refusal,
+  logRequestEnd(context, accepted, {
+    kind: RequestEndKind.Refusal,
     choice: cause,
     reason: proof.reason,
-    facts: { remaining, retryAfter, likely: likelyMilliseconds },
+    facts: { remaining, retryAfter, likely: expectedWaitMilliseconds },
   });
-  sendOwn(context, accepted, SERVICE_UNAVAILABLE, retryAfter);
+  sendLocalReply(context, accepted, SERVICE_UNAVAILABLE, retryAfter);
 }
 
 /** Fails a request that may have run. */
-export function fail(
+export function failRequest(
   context: ForwardContext,
   accepted: AcceptedRequest,
   reason: string,
   isTimeout: boolean,
 ): void {
-  noteOutcome(context, accepted, {
-    kind: EndKind.Failure,
+  logRequestEnd(context, accepted, {
+    kind: RequestEndKind.Failure,
     choice: isTimeout ? 'timeout' : 'unknown',
     reason,
     facts: { hasBegun: accepted.response.hasBegun },
   });
   if (accepted.response.hasBegun) accepted.response.abort();
-  else sendOwn(context, accepted, isTimeout ? GATEWAY_TIMEOUT : BAD_GATEWAY, undefined);
+  else sendLocalReply(context, accepted, isTimeout ? GATEWAY_TIMEOUT : BAD_GATEWAY, undefined);
 }
--- a/packages/forwarding/src/open-forward.ts
+++ b/packages/forwarding/src/open-forward.ts
@@ -10,7 +10,7 @@
 import { planPriority, urgencyOf } from './plan-priority.js';
 
 /** Time for a connection within a region: some round trips of a few milliseconds. */
-const CONNECT_MILLISECONDS = 300;
+const CONNECT_TIMEOUT_MILLISECONDS = 300;
 
 export interface ForwardAttempt {
   readonly context: ForwardContext;
@@ -22,7 +22,7 @@
   readonly isMoved: boolean;
 }
 
-export function openForward(attempt: ForwardAttempt, listener: ExchangeListener): Exchange {
+export function openForwardExchange(attempt: ForwardAttempt, listener: ExchangeListener): Exchange {
   const { context, accepted, server, lastEventId, isMoved } = attempt;
   const { request, body } = accepted;
   const urgency = urgencyOf({
@@ -48,7 +48,7 @@
     target: request.target,
     headers,
     body,
-    connectMilliseconds: CONNECT_MILLISECONDS,
+    connectTimeoutMilliseconds: CONNECT_TIMEOUT_MILLISECONDS,
   };
   return openExchange(options, listener);
 }
--- a/packages/forwarding/src/plain-attempt.ts
+++ b/packages/forwarding/src/plain-attempt.ts
@@ -5,12 +5,12 @@
 import type { BackendServer } from '@lapisbridge/catalog';
 
 import type { ResponseHead } from './caller-protocol.js';
-import { describeRefusal, doubtHead, provesNotRun } from './answer-head.js';
+import { describeRefusal, findHeadFault, provesNotRun } from './response-head.js';
 import { ExchangeEndKind } from './exchange.js';
 import type { Exchange, ExchangeEnd } from './exchange.js';
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
-import { openForward } from './open-forward.js';
-import { lateMilliseconds } from './late-answer.js';
+import { openForwardExchange } from './open-forward.js';
+import { lateThresholdMilliseconds } from './late-threshold.js';
 import { OutcomeKind } from './outcome.js';
 import type { Outcome } from './outcome.js';
 import { judgeRefusal, Verdict } from './server-ledger.js';
@@ -32,7 +32,7 @@
   switch (end.kind) {
     case ExchangeEndKind.NotSent:
       return { kind: OutcomeKind.NotRun, reason: end.reason, wasRefused: false };
-    case ExchangeEndKind.Broken:
+    case ExchangeEndKind.Incomplete:
     case ExchangeEndKind.Cancelled:
       return { kind: OutcomeKind.Unknown, reason: end.reason };
     case ExchangeEndKind.Complete: {
@@ -44,7 +44,7 @@
           wasRefused: !head.isMisdirected,
         };
       }
-      const doubt = doubtHead(head, requestId);
+      const doubt = findHeadFault(head, requestId);
       if (doubt !== undefined) return { kind: OutcomeKind.Unknown, reason: doubt };
       return { kind: OutcomeKind.Answered, head, body };
     }
@@ -87,7 +87,7 @@
   /** A server that hangs is told from a sound one by the time that it was given. */
   function verdictOfCancelled(): Verdict {
     if (head !== undefined) return Verdict.Sound;
-    const isLate = context.now() - startedAt >= lateMilliseconds(accepted.route);
+    const isLate = context.now() - startedAt >= lateThresholdMilliseconds(accepted.route);
     return isLate ? Verdict.Failing : Verdict.Open;
   }
 
@@ -95,7 +95,7 @@
   context.coldShare.noteSent(server.instanceId);
   context.statements.noteSent(server.instanceId);
   const outcome = new Promise<Outcome>((resolve) => {
-    exchange = openForward(
+    exchange = openForwardExchange(
       { context, accepted, server, lastEventId: request.lastEventId, isMoved: false },
       {
         onHead(incoming) {
--- a/packages/forwarding/src/note-outcome.test.ts
+++ b/packages/forwarding/src/request-end.test.ts
@@ -11,7 +11,7 @@
   streamEvents,
 } from './forwarding-fixture.js';
 import type { Fixture, FixtureOptions, Script } from './forwarding-fixture.js';
-import { EndKind } from './note-outcome.js';
+import { RequestEndKind } from './request-end.js';
 
 let fixture: Fixture;
 
@@ -33,7 +33,7 @@
 }
 
 const WAIT = { timeout: 60_000, interval: 5 };
-const ENDS: readonly string[] = Object.values(EndKind);
+const ENDS: readonly string[] = Object.values(RequestEndKind);
 
 /** The lines that end the request. */
 async function endsOf(options: FixtureOptions, isLeaving = false) {
@@ -55,7 +55,7 @@
   const ends = await endsOf({ servers: { one: streamEvents(3) }, route: STREAM });
   expect(ends).toMatchObject([
     {
-      kind: EndKind.Answer,
+      kind: RequestEndKind.Response,
       choice: 'one',
       facts: {
         route: 'route',
@@ -74,13 +74,17 @@
   };
   const route = { objectiveMilliseconds: 20 };
   const ends = await endsOf({ servers: { one: late }, route });
-  expect(ends).toMatchObject([{ kind: EndKind.Answer, facts: { isOnTime: false } }]);
+  expect(ends).toMatchObject([{ kind: RequestEndKind.Response, facts: { isOnTime: false } }]);
 });
 
 it('tells once of a request that was refused, and of one that failed', async () => {
-  expect(await endsOf({ servers: { one: refuseAll } })).toMatchObject([{ kind: EndKind.Refusal }]);
+  expect(await endsOf({ servers: { one: refuseAll } })).toMatchObject([
+    { kind: RequestEndKind.Refusal },
+  ]);
   await fixture.close();
-  expect(await endsOf({ servers: { one: loseAnswer } })).toMatchObject([{ kind: EndKind.Failure }]);
+  expect(await endsOf({ servers: { one: loseAnswer } })).toMatchObject([
+    { kind: RequestEndKind.Failure },
+  ]);
 });
 
 it('tells of a caller that left, and of nothing else', async () => {
@@ -88,6 +92,9 @@
   // process had died.
   const ends = await endsOf({ servers: { one: stayAway } }, true);
   expect(ends).toMatchObject([
-    { kind: EndKind.Gone, facts: { route: 'route', hasBegun: false, isRetry: false } },
+    {
+      kind: RequestEndKind.CallerDisconnected,
+      facts: { route: 'route', hasBegun: false, isRetry: false },
+    },
   ]);
 });
--- a/packages/forwarding/src/note-outcome.ts
+++ b/packages/forwarding/src/request-end.ts
@@ -5,23 +5,23 @@
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
 
 /** The value of `kind` in a line that ends a request. */
-export enum EndKind {
-  Answer = 'answer',
+export enum RequestEndKind {
+  Response = 'answer',
   Refusal = 'refusal',
   Failure = 'failure',
   /** The caller left before its answer was complete. */
-  Gone = 'gone',
+  CallerDisconnected = 'gone',
 }
 
 export interface RequestEnd {
-  readonly kind: EndKind;
+  readonly kind: RequestEndKind;
   /** The server that answered, or the cause of another end. */
   readonly choice: string;
   readonly reason: string;
   readonly facts: Readonly<Record<string, string | number | boolean | undefined>>;
 }
 
-export function noteOutcome(
+export function logRequestEnd(
   context: ForwardContext,
   accepted: AcceptedRequest,
   end: RequestEnd,
--- a/packages/forwarding/src/answer-head.ts
+++ b/packages/forwarding/src/response-head.ts
@@ -13,7 +13,7 @@
 }
 
 /** Reasons for which the head of an answer is not believed; undefined when it is sound. */
-export function doubtHead(head: ResponseHead, requestId: string): string | undefined {
+export function findHeadFault(head: ResponseHead, requestId: string): string | undefined {
   if (head.requestId !== requestId) return 'answer to another request';
   if (isSuccess(head.status) && !head.isSigned) return 'success without a signature';
   return undefined;
@@ -32,10 +32,10 @@
 }
 
 /** Whether the head is that of the server that the request was sent to. */
-export function speaksForServer(head: ResponseHead, requestId: string): boolean {
+export function isFromAddressedServer(head: ResponseHead, requestId: string): boolean {
   if (head.isMisdirected) return false;
   // Refusals need not name the request.
-  return provesNotRun(head) || doubtHead(head, requestId) === undefined;
+  return provesNotRun(head) || findHeadFault(head, requestId) === undefined;
 }
 
 /** Whether the head proves that the request did not run. */
--- a/packages/forwarding/src/serve-plain.ts
+++ b/packages/forwarding/src/serve-plain.ts
@@ -10,11 +10,11 @@
 import { chooseServer } from './choose-server.js';
 import { computeRemainingMilliseconds, createProgress } from './forward-context.js';
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
-import { lateMilliseconds } from './late-answer.js';
-import { EndKind, noteOutcome } from './note-outcome.js';
+import { lateThresholdMilliseconds } from './late-threshold.js';
+import { logRequestEnd, RequestEndKind } from './request-end.js';
 import { describeOutcome, OutcomeKind, proveNotRun } from './outcome.js';
 import type { Answered, Outcome } from './outcome.js';
-import { fail, refuse } from './own-answer.js';
+import { failRequest, refuseRequest } from './local-reply.js';
 import { startPlainAttempt } from './plain-attempt.js';
 import type { RunningAttempt } from './plain-attempt.js';
 import { RefusalCause } from './plan-retry-after.js';
@@ -170,8 +170,8 @@
 
   function pass(outcome: Answered, attempt: RunningAttempt): void {
     const waited = context.now() - accepted.arrivedAt;
-    noteOutcome(context, accepted, {
-      kind: EndKind.Answer,
+    logRequestEnd(context, accepted, {
+      kind: RequestEndKind.Response,
       choice: attempt.server.instanceId,
       reason: 'passed on',
       facts: {
@@ -194,8 +194,8 @@
     }
     const reason = progress.outcomes.map(describeOutcome).join('; ') || cause;
     const proof = proveNotRun(progress.outcomes, reason);
-    if (proof === undefined) fail(context, accepted, reason, isExpired);
-    else refuse(context, accepted, cause, proof, likelyMilliseconds);
+    if (proof === undefined) failRequest(context, accepted, reason, isExpired);
+    else refuseRequest(context, accepted, cause, proof, likelyMilliseconds);
   }
 
   let hedged = false;
@@ -215,7 +215,7 @@
         }
       }
       const canHedge = mayRepeat && !hedged && progress.runs < route.maximumAttempts;
-      const lateAfter = canHedge ? lateMilliseconds(route) : Infinity;
+      const lateAfter = canHedge ? lateThresholdMilliseconds(route) : Infinity;
       const settled = await nextSettled(lateAfter);
       if (response.isEnded) return;
       if (settled === 'stopped') {
--- a/packages/forwarding/src/serve-stream.ts
+++ b/packages/forwarding/src/serve-stream.ts
@@ -9,10 +9,10 @@
 import { chooseServer } from './choose-server.js';
 import { computeRemainingMilliseconds, createProgress } from './forward-context.js';
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
-import { EndKind, noteOutcome } from './note-outcome.js';
+import { logRequestEnd, RequestEndKind } from './request-end.js';
 import { describeOutcome, OutcomeKind, proveNotRun } from './outcome.js';
 import type { Outcome } from './outcome.js';
-import { fail, refuse } from './own-answer.js';
+import { failRequest, refuseRequest } from './local-reply.js';
 import { canOffer } from './plan-offer.js';
 import { planRefusalCause, RefusalCause } from './plan-retry-after.js';
 import { planEventTimeout } from './plan-wait.js';
@@ -152,8 +152,8 @@
   }
 
   function noteAnswer(server: BackendServer, status: number): void {
-    noteOutcome(context, accepted, {
-      kind: EndKind.Answer,
+    logRequestEnd(context, accepted, {
+      kind: RequestEndKind.Response,
       choice: server.instanceId,
       reason: 'whole answer',
       facts: {
@@ -184,11 +184,11 @@
     const reason = progress.outcomes.map(describeOutcome).join('; ') || cause;
     const proof = response.hasBegun ? undefined : proveNotRun(progress.outcomes, reason);
     if (proof === undefined) {
-      fail(context, accepted, reason, state.timeout !== undefined);
+      failRequest(context, accepted, reason, state.timeout !== undefined);
       return;
     }
     const likelyCause = planRefusalCause(cause, hasGroupStopped());
-    refuse(context, accepted, likelyCause, proof, likelyOf(likelyCause, delay));
+    refuseRequest(context, accepted, likelyCause, proof, likelyOf(likelyCause, delay));
   }
 
   function timeOut(cause: RefusalCause, reason: string): void {
--- a/packages/forwarding/src/server-rate-limits.ts
+++ b/packages/forwarding/src/server-rate-limits.ts
@@ -5,7 +5,7 @@
  */
 import type { Logger } from '@lapisbridge/logger';
 
-import { isSuccess } from './answer-head.js';
+import { isSuccess } from './response-head.js';
 import { RateLimitKind } from './caller-protocol.js';
 import type { ResponseHead } from './caller-protocol.js';
 import { planRateLimitRoom } from './plan-rate-limit-room.js';
--- a/packages/forwarding/src/server-statements.ts
+++ b/packages/forwarding/src/server-statements.ts
@@ -5,7 +5,7 @@
  */
 import type { BackendServer } from '@lapisbridge/catalog';
 
-import { speaksForServer } from './answer-head.js';
+import { isFromAddressedServer } from './response-head.js';
 import type { ResponseHead } from './caller-protocol.js';
 import type { ServerBackoffs } from './server-backoffs.js';
 import type { ServerDepartures } from './server-departures.js';
@@ -52,7 +52,7 @@
 
   return {
     onAnswer({ server, head, requestId, sentAt }) {
-      if (!speaksForServer(head, requestId)) return;
+      if (!isFromAddressedServer(head, requestId)) return;
       const { instanceId } = server;
       rateLimits.onAnswer({ instanceId, head, sentAt });
       backoffs.onAnswer(instanceId, head);
--- a/packages/forwarding/src/stream-attempt.ts
+++ b/packages/forwarding/src/stream-attempt.ts
@@ -4,14 +4,14 @@
  */
 import type { BackendServer } from '@lapisbridge/catalog';
 
-import { describeRefusal, doubtHead, isSuccess, provesNotRun } from './answer-head.js';
+import { describeRefusal, findHeadFault, isSuccess, provesNotRun } from './response-head.js';
 import type { ResponseHead } from './caller-protocol.js';
 import { createEventSplitter } from './event-splitter.js';
 import type { StreamEvent } from './event-splitter.js';
 import { ExchangeEndKind } from './exchange.js';
 import type { Exchange, ExchangeEnd } from './exchange.js';
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
-import { openForward } from './open-forward.js';
+import { openForwardExchange } from './open-forward.js';
 import { judgeRefusal, Verdict } from './server-ledger.js';
 
 export enum StreamEndKind {
@@ -189,7 +189,7 @@
   context.coldShare.noteSent(server.instanceId);
   context.statements.noteSent(server.instanceId);
   const end = new Promise<StreamEnd>((resolve) => {
-    exchange = openForward(
+    exchange = openForwardExchange(
       { context, accepted, server, lastEventId: sink.lastEventId(), isMoved },
       {
         onHead(incoming) {
@@ -198,7 +198,7 @@
           if (head.load !== undefined) ledger.reported(server.instanceId, head.load);
           context.statements.onAnswer({ server, head, requestId, sentAt: startedAt });
           if (provesNotRun(head)) return;
-          const doubted = doubtHead(head, requestId);
+          const doubted = findHeadFault(head, requestId);
           if (doubted !== undefined) giveUp(doubted);
         },
         onData: takeData,
--- a/packages/forwarding/src/stream-record.ts
+++ b/packages/forwarding/src/stream-record.ts
@@ -6,7 +6,7 @@
 import type { ResponseHead } from './caller-protocol.js';
 import type { StreamEvent } from './event-splitter.js';
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
-import type { RequestEnd } from './note-outcome.js';
+import type { RequestEnd } from './request-end.js';
 import { roundedOrNone } from './rounded-or-none.js';
 import type { StreamSink } from './stream-attempt.js';
 
