--- a/packages/forwarding/src/choose-server.ts
+++ b/packages/forwarding/src/choose-server.ts
@@ -10,21 +10,21 @@
 import { roundedOrNone } from './rounded-or-none.js';
 
 /** Reading speed of services without a model, which have no prompts. */
-const NO_PROMPTS = 1;
+const READ_SPEED_WITHOUT_MODEL = 1;
 
-function viewsOf(
+function collectCandidates(
   context: ForwardContext,
   accepted: AcceptedRequest,
-): { views: ServerView[]; byId: ReadonlyMap<string, BackendServer>; leaving: number } {
+): { views: ServerView[]; serversById: ReadonlyMap<string, BackendServer>; leaving: number } {
   const { coldShare } = context;
   const profile = accepted.configuration.services.get(accepted.service);
   const { drainedZones } = context.catalog.operators();
-  const byId = context.catalog.servers().servers;
+  const serversById = context.catalog.servers().servers;
   const views: ServerView[] = [];
   const coldRate = profile?.coldRequestsPerSecond ?? 0;
   const senders = coldShare.senders(coldRate);
   let leaving = 0;
-  for (const server of byId.values()) {
+  for (const server of serversById.values()) {
     if (server.service !== accepted.service || server.draining) continue;
     if (drainedZones.has(server.availabilityZone)) continue;
     const admission = context.statements.admission(server, senders);
@@ -32,12 +32,12 @@
       leaving += 1;
       continue;
     }
-    const coldRoom = coldShare.roomIn(server.instanceId, coldRate);
+    const coldCapacityInMilliseconds = coldShare.roomIn(server.instanceId, coldRate);
     views.push(
       context.ledger.view(
         server,
         {
-          roomInMilliseconds: Math.max(coldRoom, admission.roomInMilliseconds),
+          roomInMilliseconds: Math.max(coldCapacityInMilliseconds, admission.roomInMilliseconds),
           backoffMilliseconds: admission.backoffMilliseconds,
           brokenForMilliseconds: context.groupHealth.brokenFor(server),
           isSilent: context.liveness.isSilent(server),
@@ -46,25 +46,25 @@
       ),
     );
   }
-  return { views, byId, leaving };
+  return { views, serversById, leaving };
 }
 
 /** What the other entries may have sent since the servers reported. */
-function guessUnseen(
+function estimateUnseenArrivals(
   context: ForwardContext,
   service: string,
   views: readonly ServerView[],
 ): number {
-  let age = 0;
-  let reports = 0;
+  let totalReportAge = 0;
+  let reportCount = 0;
   for (const { reportAge } of views) {
     if (reportAge === undefined) continue;
-    age += reportAge;
-    reports += 1;
+    totalReportAge += reportAge;
+    reportCount += 1;
   }
-  if (reports === 0) return 0;
+  if (reportCount === 0) return 0;
   const others = context.arrivals.perSecond(service) * (context.entries() - 1);
-  return (others * (age / reports)) / 1000;
+  return (others * (totalReportAge / reportCount)) / 1000;
 }
 
 export interface ChosenServer {
@@ -78,14 +78,15 @@
   progress: RequestProgress,
   fits: (view: ServerView) => boolean = () => true,
 ): ChosenServer {
-  const { views, byId, leaving } = viewsOf(context, accepted);
+  const { views, serversById, leaving } = collectCandidates(context, accepted);
   const engine = accepted.configuration.services.get(accepted.service)?.engine;
   const choice = planServer({
     views,
     ownZone: context.ownZone,
     excluded: progress.tried,
-    readTokensPerMillisecond: engine === undefined ? NO_PROMPTS : engine.readTokensPerSecond / 1000,
-    unseenArrivals: guessUnseen(context, accepted.service, views),
+    readTokensPerMillisecond:
+      engine === undefined ? READ_SPEED_WITHOUT_MODEL : engine.readTokensPerSecond / 1000,
+    unseenArrivals: estimateUnseenArrivals(context, accepted.service, views),
     fits,
     random: context.random,
   });
@@ -115,5 +116,5 @@
           : undefined,
     },
   });
-  return { choice, server: chosen ? byId.get(choice.view.instanceId) : undefined };
+  return { choice, server: chosen ? serversById.get(choice.view.instanceId) : undefined };
 }
--- a/packages/forwarding/src/event-splitter.test.ts
+++ b/packages/forwarding/src/event-splitter.test.ts
@@ -19,7 +19,7 @@
       }
       expect(events.map(({ id }) => id)).toEqual([1, 2, undefined]);
       expect(events.map((event) => event.text).join('')).toBe(text);
-      expect(splitter.hasRest()).toBe(false);
+      expect(splitter.hasPartialEvent()).toBe(false);
     }),
     { seed: 1 },
   );
@@ -28,5 +28,5 @@
 it('keeps back an event that is not finished', () => {
   const splitter = createEventSplitter();
   expect(splitter.push(Buffer.from('id: 1\ndata: o'))).toEqual([]);
-  expect(splitter.hasRest()).toBe(true);
+  expect(splitter.hasPartialEvent()).toBe(true);
 });
--- a/packages/forwarding/src/event-splitter.ts
+++ b/packages/forwarding/src/event-splitter.ts
@@ -13,7 +13,7 @@
 export interface EventSplitter {
   push(chunk: Buffer): StreamEvent[];
   /** Whether bytes of an unfinished event are held. */
-  hasRest(): boolean;
+  hasPartialEvent(): boolean;
 }
 
 const LINE_FEED = 0x0a;
@@ -23,9 +23,9 @@
 function findEventEnd(bytes: Buffer, from: number): number {
   let position = bytes.indexOf(LINE_FEED, from);
   while (position >= 0) {
-    let next = position + 1;
-    if (bytes[next] === CARRIAGE_RETURN) next += 1;
-    if (bytes[next] === LINE_FEED) return next + 1;
+    let nextLineStart = position + 1;
+    if (bytes[nextLineStart] === CARRIAGE_RETURN) nextLineStart += 1;
+    if (bytes[nextLineStart] === LINE_FEED) return nextLineStart + 1;
     position = bytes.indexOf(LINE_FEED, position + 1);
   }
   return -1;
@@ -37,10 +37,10 @@
 }
 
 export function createEventSplitter(): EventSplitter {
-  let rest: Buffer = Buffer.alloc(0);
+  let partialEvent: Buffer = Buffer.alloc(0);
   return {
     push(chunk) {
-      const bytes = rest.length === 0 ? chunk : Buffer.concat([rest, chunk]);
+      const bytes = partialEvent.length === 0 ? chunk : Buffer.concat([partialEvent, chunk]);
       const events: StreamEvent[] = [];
       let start = 0;
       for (;;) {
@@ -50,9 +50,9 @@
         events.push({ id: readId(event), bytes: event });
         start = end;
       }
-      rest = bytes.subarray(start);
+      partialEvent = bytes.subarray(start);
       return events;
     },
-    hasRest: () => rest.length > 0,
+    hasPartialEvent: () => partialEvent.length > 0,
   };
 }
--- a/packages/forwarding/src/plain-attempt.ts
+++ b/packages/forwarding/src/plain-attempt.ts
@@ -15,15 +15,15 @@
 import type { Outcome } from './outcome.js';
 import { judgeRefusal, Verdict } from './server-ledger.js';
 
-export interface RunningAttempt {
+export interface PlainAttempt {
   readonly server: BackendServer;
   readonly outcome: Promise<Outcome>;
   cancel(reason: string): void;
 }
 
 /** Largest answer that is held; beyond it the backend server is taken to be at fault. */
-const MAXIMUM_ANSWER_BYTES = 8 * 1024 * 1024;
-function judge(
+const MAXIMUM_RESPONSE_BYTES = 8 * 1024 * 1024;
+function toOutcome(
   end: ExchangeEnd,
   head: ResponseHead | undefined,
   body: Buffer,
@@ -44,8 +44,8 @@
           wasRefused: !head.isMisdirected,
         };
       }
-      const doubt = findHeadFault(head, requestId);
-      if (doubt !== undefined) return { kind: OutcomeKind.Unknown, reason: doubt };
+      const headFault = findHeadFault(head, requestId);
+      if (headFault !== undefined) return { kind: OutcomeKind.Unknown, reason: headFault };
       return { kind: OutcomeKind.Answered, head, body };
     }
     default: {
@@ -56,12 +56,12 @@
 }
 
 /** `hasRoom`: whether the server has a free slot. */
-function verdictOf(outcome: Outcome, hasRoom: boolean): Verdict {
+function classifyOutcome(outcome: Outcome, hasFreeSlot: boolean): Verdict {
   switch (outcome.kind) {
     case OutcomeKind.Answered:
       return outcome.head.status < 500 ? Verdict.Sound : Verdict.Failing;
     case OutcomeKind.NotRun:
-      return outcome.wasRefused ? judgeRefusal(hasRoom) : Verdict.Failing;
+      return outcome.wasRefused ? judgeRefusal(hasFreeSlot) : Verdict.Failing;
     case OutcomeKind.Unknown:
       return Verdict.Failing;
     default: {
@@ -75,17 +75,17 @@
   context: ForwardContext,
   accepted: AcceptedRequest,
   server: BackendServer,
-): RunningAttempt {
+): PlainAttempt {
   const { ledger, liveness, protocol } = context;
   const { request, requestId } = accepted;
   const startedAt = context.now();
   let head: ResponseHead | undefined;
   const chunks: Buffer[] = [];
-  let size = 0;
+  let responseBytes = 0;
   let exchange: Exchange | undefined;
 
   /** A server that hangs is told from a sound one by the time that it was given. */
-  function verdictOfCancelled(): Verdict {
+  function classifyCancelled(): Verdict {
     if (head !== undefined) return Verdict.Sound;
     const isLate = context.now() - startedAt >= lateThresholdMilliseconds(accepted.route);
     return isLate ? Verdict.Failing : Verdict.Open;
@@ -105,21 +105,21 @@
           context.statements.onAnswer({ server, head, requestId, sentAt: startedAt });
         },
         onData(chunk) {
-          size += chunk.length;
-          if (size > MAXIMUM_ANSWER_BYTES) exchange?.cancel('answer too large');
+          responseBytes += chunk.length;
+          if (responseBytes > MAXIMUM_RESPONSE_BYTES) exchange?.cancel('answer too large');
           else chunks.push(chunk);
         },
         onEnd(end) {
-          const judged = judge(end, head, Buffer.concat(chunks), requestId);
+          const attemptOutcome = toOutcome(end, head, Buffer.concat(chunks), requestId);
           const isCancelled = end.kind === ExchangeEndKind.Cancelled;
           if (isCancelled && head === undefined) context.metrics.countUnansweredSend();
-          const wasAnswered = judged.kind === OutcomeKind.Answered;
+          const wasAnswered = attemptOutcome.kind === OutcomeKind.Answered;
           if (wasAnswered) ledger.answered(server.instanceId, context.now() - startedAt, 0);
           const verdict = isCancelled
-            ? verdictOfCancelled()
-            : verdictOf(judged, ledger.hasRoom(server));
+            ? classifyCancelled()
+            : classifyOutcome(attemptOutcome, ledger.hasRoom(server));
           ledger.ended(server.instanceId, verdict, 0, wasAnswered);
-          resolve(judged);
+          resolve(attemptOutcome);
         },
       },
     );
--- a/packages/forwarding/src/serve-plain.ts
+++ b/packages/forwarding/src/serve-plain.ts
@@ -16,7 +16,7 @@
 import type { Answered, Outcome } from './outcome.js';
 import { failRequest, refuseRequest } from './local-reply.js';
 import { startPlainAttempt } from './plain-attempt.js';
-import type { RunningAttempt } from './plain-attempt.js';
+import type { PlainAttempt } from './plain-attempt.js';
 import { RefusalCause } from './plan-retry-after.js';
 import { planRoomWait } from './plan-wait.js';
 import { roundedOrNone } from './rounded-or-none.js';
@@ -24,9 +24,9 @@
 /** Sends of one request, counting those refused: beyond it the service is taken to be full. */
 const MAXIMUM_SENDS = 4;
 /** Below this much time a further attempt cannot be answered. */
-const SHORTEST_ATTEMPT_MILLISECONDS = 10;
+const MINIMUM_ATTEMPT_MILLISECONDS = 10;
 
-function isFailure({ head }: Answered): boolean {
+function isServerError({ head }: Answered): boolean {
   return head.status >= 500;
 }
 
@@ -37,22 +37,22 @@
   None = 'none',
 }
 
-type Start =
+type StartResult =
   | { readonly kind: StartKind.Started }
   | { readonly kind: StartKind.Delayed; readonly waitMilliseconds: number }
   | {
       readonly kind: StartKind.None;
       readonly cause: RefusalCause;
       /** Milliseconds until a server is likely to serve it; undefined where nothing tells. */
-      readonly likelyMilliseconds: number | undefined;
+      readonly expectedWaitMilliseconds: number | undefined;
     };
 
-function none(cause: RefusalCause, likelyMilliseconds?: number): Start {
-  return { kind: StartKind.None, cause, likelyMilliseconds };
+function cannotStart(cause: RefusalCause, expectedWaitMilliseconds?: number): StartResult {
+  return { kind: StartKind.None, cause, expectedWaitMilliseconds };
 }
 
-interface Settled {
-  readonly attempt: RunningAttempt;
+interface SettledAttempt {
+  readonly attempt: PlainAttempt;
   readonly outcome: Outcome;
 }
 
@@ -63,11 +63,11 @@
 ): Promise<void> {
   const { route, service, response } = accepted;
   const progress = createProgress();
-  const running = new Set<RunningAttempt>();
-  let failedAnswer: Answered | undefined;
+  const running = new Set<PlainAttempt>();
+  let errorResponse: Answered | undefined;
   let isExpired = false;
-  let wake: (() => void) | undefined;
-  const mayRepeat = route.kind === RequestKind.Idempotent;
+  let interruptWait: (() => void) | undefined;
+  const isIdempotent = route.kind === RequestKind.Idempotent;
 
   function cancelAll(reason: string): void {
     for (const attempt of running) attempt.cancel(reason);
@@ -75,18 +75,18 @@
 
   response.onDisconnect(() => {
     cancelAll('caller gone');
-    wake?.();
+    interruptWait?.();
   });
   const expiry = setTimeout(
     () => {
       isExpired = true;
-      wake?.();
+      interruptWait?.();
     },
     computeRemainingMilliseconds(context, accepted),
   );
 
   /** Milliseconds to wait for room at a server; 0 where it comes too late for the caller. */
-  function waitFor(roomInMilliseconds: number, reason: string): number {
+  function decideWait(roomInMilliseconds: number, reason: string): number {
     const wait = planRoomWait({
       route,
       isRetry: accepted.isRetry,
@@ -105,24 +105,24 @@
   }
 
   /** What becomes of the request where no server can be sent to now. */
-  function startLater(choice: ServerChoice): Start {
+  function delayOrRefuse(choice: ServerChoice): StartResult {
     switch (choice.kind) {
       case ServerChoiceKind.AllLimited: {
-        const wait = waitFor(choice.roomInMilliseconds, 'every server has had its share');
+        const wait = decideWait(choice.roomInMilliseconds, 'every server has had its share');
         if (wait > 0) return { kind: StartKind.Delayed, waitMilliseconds: wait };
-        return none(RefusalCause.Full);
+        return cannotStart(RefusalCause.Full);
       }
       case ServerChoiceKind.AllBackingOff: {
         const { backoffMilliseconds } = choice;
-        const wait = waitFor(backoffMilliseconds, 'every server backs off');
+        const wait = decideWait(backoffMilliseconds, 'every server backs off');
         if (wait > 0) return { kind: StartKind.Delayed, waitMilliseconds: wait };
-        return none(RefusalCause.BackingOff, backoffMilliseconds);
+        return cannotStart(RefusalCause.BackingOff, backoffMilliseconds);
       }
       case ServerChoiceKind.Chosen:
       case ServerChoiceKind.NoneLeft:
       case ServerChoiceKind.AllCrowded:
       case ServerChoiceKind.AllBroken:
-        return none(progress.sends > 0 ? RefusalCause.Full : RefusalCause.NoServer);
+        return cannotStart(progress.sends > 0 ? RefusalCause.Full : RefusalCause.NoServer);
       default: {
         const unreachable: never = choice;
         throw new Error(String(unreachable));
@@ -131,17 +131,17 @@
   }
 
   /** Starts one more attempt, or says why none can be started. */
-  function startNext(): Start {
-    if (progress.sends >= MAXIMUM_SENDS) return none(RefusalCause.Full);
-    if (computeRemainingMilliseconds(context, accepted) < SHORTEST_ATTEMPT_MILLISECONDS) {
-      return none(RefusalCause.Expired);
+  function startNextAttempt(): StartResult {
+    if (progress.sends >= MAXIMUM_SENDS) return cannotStart(RefusalCause.Full);
+    if (computeRemainingMilliseconds(context, accepted) < MINIMUM_ATTEMPT_MILLISECONDS) {
+      return cannotStart(RefusalCause.Expired);
     }
     const { choice, server } = chooseServer(context, accepted, progress);
     if (server === undefined) {
-      return startLater(choice);
+      return delayOrRefuse(choice);
     }
     if (progress.sends > 0 && !context.retryShare.spend(service)) {
-      return none(RefusalCause.BudgetSpent);
+      return cannotStart(RefusalCause.BudgetSpent);
     }
     progress.sends += 1;
     progress.runs += 1;
@@ -150,33 +150,35 @@
     return { kind: StartKind.Started };
   }
 
-  async function nextSettled(lateAfter: number): Promise<Settled | 'late' | 'stopped'> {
+  async function waitForSettled(
+    lateAfterMilliseconds: number,
+  ): Promise<SettledAttempt | 'late' | 'stopped'> {
     const settled = [...running].map(async (attempt) => ({
       attempt,
       outcome: await attempt.outcome,
     }));
     const stopped = new Promise<'stopped'>((resolve) => {
-      wake = () => resolve('stopped');
+      interruptWait = () => resolve('stopped');
     });
-    if (!Number.isFinite(lateAfter)) return Promise.race([...settled, stopped]);
+    if (!Number.isFinite(lateAfterMilliseconds)) return Promise.race([...settled, stopped]);
     let timer: NodeJS.Timeout | undefined;
     const late = new Promise<'late'>((resolve) => {
-      timer = setTimeout(() => resolve('late'), lateAfter);
+      timer = setTimeout(() => resolve('late'), lateAfterMilliseconds);
     });
     const first = await Promise.race([...settled, stopped, late]);
     clearTimeout(timer);
     return first;
   }
 
-  function pass(outcome: Answered, attempt: RunningAttempt): void {
-    const waited = context.now() - accepted.arrivedAt;
+  function sendToCaller(outcome: Answered, attempt: PlainAttempt): void {
+    const elapsedMilliseconds = context.now() - accepted.arrivedAt;
     logRequestEnd(context, accepted, {
       kind: RequestEndKind.Response,
       choice: attempt.server.instanceId,
       reason: 'passed on',
       facts: {
         status: outcome.head.status,
-        isOnTime: waited <= route.objectiveMilliseconds,
+        isOnTime: elapsedMilliseconds <= route.objectiveMilliseconds,
         sends: progress.sends,
       },
     });
@@ -185,38 +187,38 @@
 
   function conclude(
     cause: RefusalCause,
-    lastAttempt: RunningAttempt | undefined,
-    likelyMilliseconds?: number,
+    lastAttempt: PlainAttempt | undefined,
+    expectedWaitMilliseconds?: number,
   ): void {
-    if (failedAnswer !== undefined && lastAttempt !== undefined) {
-      pass(failedAnswer, lastAttempt);
+    if (errorResponse !== undefined && lastAttempt !== undefined) {
+      sendToCaller(errorResponse, lastAttempt);
       return;
     }
     const reason = progress.outcomes.map(describeOutcome).join('; ') || cause;
     const proof = proveNotRun(progress.outcomes, reason);
     if (proof === undefined) failRequest(context, accepted, reason, isExpired);
-    else refuseRequest(context, accepted, cause, proof, likelyMilliseconds);
+    else refuseRequest(context, accepted, cause, proof, expectedWaitMilliseconds);
   }
 
-  let hedged = false;
-  let lastAttempt: RunningAttempt | undefined;
+  let isHedged = false;
+  let lastAttempt: PlainAttempt | undefined;
   try {
     for (;;) {
       if (response.isEnded) return;
       if (running.size === 0) {
-        const start = startNext();
+        const start = startNextAttempt();
         if (start.kind === StartKind.None) {
-          conclude(start.cause, lastAttempt, start.likelyMilliseconds);
+          conclude(start.cause, lastAttempt, start.expectedWaitMilliseconds);
           return;
         }
         if (start.kind === StartKind.Delayed) {
-          await nextSettled(start.waitMilliseconds);
+          await waitForSettled(start.waitMilliseconds);
           continue;
         }
       }
-      const canHedge = mayRepeat && !hedged && progress.runs < route.maximumAttempts;
-      const lateAfter = canHedge ? lateThresholdMilliseconds(route) : Infinity;
-      const settled = await nextSettled(lateAfter);
+      const canHedge = isIdempotent && !isHedged && progress.runs < route.maximumAttempts;
+      const lateAfterMilliseconds = canHedge ? lateThresholdMilliseconds(route) : Infinity;
+      const settled = await waitForSettled(lateAfterMilliseconds);
       if (response.isEnded) return;
       if (settled === 'stopped') {
         const unsettled: Outcome = { kind: OutcomeKind.Unknown, reason: 'no answer in time' };
@@ -228,8 +230,8 @@
         continue;
       }
       if (settled === 'late') {
-        hedged = true;
-        startNext();
+        isHedged = true;
+        startNextAttempt();
         continue;
       }
       const { attempt, outcome } = settled;
@@ -237,22 +239,22 @@
       lastAttempt = attempt;
       progress.outcomes.push(outcome);
       if (outcome.kind === OutcomeKind.Answered) {
-        if (!isFailure(outcome) || !mayRepeat || progress.runs >= route.maximumAttempts) {
-          if (running.size > 0 && isFailure(outcome)) {
-            failedAnswer = outcome;
+        if (!isServerError(outcome) || !isIdempotent || progress.runs >= route.maximumAttempts) {
+          if (running.size > 0 && isServerError(outcome)) {
+            errorResponse = outcome;
             continue;
           }
-          pass(outcome, attempt);
+          sendToCaller(outcome, attempt);
           return;
         }
-        failedAnswer = outcome;
+        errorResponse = outcome;
       } else {
-        logMiss(context, accepted, attempt, outcome);
+        logFailedAttempt(context, accepted, attempt, outcome);
         if (outcome.kind === OutcomeKind.NotRun) {
           progress.runs -= 1;
-        } else if (!mayRepeat || progress.runs >= route.maximumAttempts) {
+        } else if (!isIdempotent || progress.runs >= route.maximumAttempts) {
           if (running.size > 0) continue;
-          conclude(RefusalCause.Full, failedAnswer === undefined ? undefined : attempt);
+          conclude(RefusalCause.Full, errorResponse === undefined ? undefined : attempt);
           return;
         }
       }
@@ -263,10 +265,10 @@
   }
 }
 
-function logMiss(
+function logFailedAttempt(
   context: ForwardContext,
   accepted: AcceptedRequest,
-  attempt: RunningAttempt,
+  attempt: PlainAttempt,
   outcome: Exclude<Outcome, Answered>,
 ): void {
   context.logger.decision({
--- a/packages/forwarding/src/serve-stream.ts
+++ b/packages/forwarding/src/serve-stream.ts
@@ -17,8 +17,8 @@
 import { planRefusalCause, RefusalCause } from './plan-retry-after.js';
 import { planEventTimeout } from './plan-wait.js';
 import { roundedOrNone } from './rounded-or-none.js';
-import { DelayKind, delayOf, REFUSAL_OF, waitOut } from './stream-delay.js';
-import type { Delay } from './stream-delay.js';
+import { DelayKind, REFUSAL_CAUSE_BY_DELAY, toStreamDelay, waitForServer } from './stream-delay.js';
+import type { StreamDelay } from './stream-delay.js';
 import { startStreamAttempt, StreamEndKind } from './stream-attempt.js';
 import type { StreamAttempt, StreamEnd } from './stream-attempt.js';
 import { createStreamRecord } from './stream-record.js';
@@ -28,7 +28,7 @@
 const MAXIMUM_SENDS = 3;
 
 /** Between two looks at a stream that is overdue. */
-const RECHECK_MILLISECONDS = 20;
+const OVERDUE_CHECK_INTERVAL_MILLISECONDS = 20;
 
 enum StartKind {
   Started = 'started',
@@ -36,13 +36,13 @@
   None = 'none',
 }
 
-type Start =
+type StartResult =
   | {
       readonly kind: StartKind.Started;
       readonly server: BackendServer;
       readonly attempt: StreamAttempt;
     }
-  | { readonly kind: StartKind.Delayed; readonly delay: Delay }
+  | { readonly kind: StartKind.Delayed; readonly delay: StreamDelay }
   | { readonly kind: StartKind.None; readonly cause: RefusalCause };
 
 interface StreamState {
@@ -52,7 +52,7 @@
   timeout: RefusalCause | undefined;
   /** Taken from a server that gave no sign of life, before its first event. */
   isMoved: boolean;
-  current: StreamAttempt | undefined;
+  currentAttempt: StreamAttempt | undefined;
   /** Where the current attempt is, or the latest was. */
   server: BackendServer | undefined;
 }
@@ -65,7 +65,7 @@
       return { kind: OutcomeKind.Answered, head: end.head, body: end.body };
     case StreamEndKind.NotRun:
       return { kind: OutcomeKind.NotRun, reason: end.reason, wasRefused: end.wasRefused };
-    case StreamEndKind.Broken:
+    case StreamEndKind.Incomplete:
       return { kind: OutcomeKind.Unknown, reason: end.reason };
     default: {
       const unreachable: never = end;
@@ -86,16 +86,21 @@
     groupRefusals: 0,
     timeout: undefined,
     isMoved: false,
-    current: undefined,
+    currentAttempt: undefined,
     server: undefined,
   };
 
-  function causeOf(): RefusalCause {
+  function causeWithoutServer(): RefusalCause {
     return progress.sends > 0 ? RefusalCause.Full : RefusalCause.NoServer;
   }
 
   /** Whether a server can begin the stream in time. */
-  function fits({ slots, expected, reportAge, typicalMilliseconds }: ServerView): boolean {
+  function canStartInTime({
+    slots,
+    expected,
+    reportAge,
+    typicalMilliseconds,
+  }: ServerView): boolean {
     return canOffer({
       route,
       slots,
@@ -110,15 +115,15 @@
   }
 
   /** Starts one more attempt, or says why none can be started. */
-  function startNext(): Start {
+  function startNextAttempt(): StartResult {
     if (state.timeout !== undefined) return { kind: StartKind.None, cause: state.timeout };
     if (progress.sends - state.groupRefusals >= MAXIMUM_SENDS) {
       return { kind: StartKind.None, cause: RefusalCause.Full };
     }
-    const { choice, server } = chooseServer(context, accepted, progress, fits);
-    const delay = delayOf(context, choice);
+    const { choice, server } = chooseServer(context, accepted, progress, canStartInTime);
+    const delay = toStreamDelay(context, choice);
     if (delay !== undefined) return { kind: StartKind.Delayed, delay };
-    if (server === undefined) return { kind: StartKind.None, cause: causeOf() };
+    if (server === undefined) return { kind: StartKind.None, cause: causeWithoutServer() };
     if (progress.sends > 0 && !context.retryShare.spend(service)) {
       return { kind: StartKind.None, cause: RefusalCause.BudgetSpent };
     }
@@ -126,16 +131,16 @@
     progress.runs += 1;
     progress.tried.add(server.instanceId);
     const attempt = startStreamAttempt(context, accepted, server, record.sink, state.isMoved);
-    state.current = attempt;
+    state.currentAttempt = attempt;
     state.server = server;
     return { kind: StartKind.Started, server, attempt };
   }
 
-  function mayContinue(): boolean {
+  function canResume(): boolean {
     return route.resumable && progress.runs < route.maximumAttempts;
   }
 
-  function noteMiss(server: BackendServer, end: StreamEnd): void {
+  function logFailedAttempt(server: BackendServer, end: StreamEnd): void {
     context.logger.decision({
       kind: 'attempt',
       subject: accepted.requestId,
@@ -151,7 +156,7 @@
     });
   }
 
-  function noteAnswer(server: BackendServer, status: number): void {
+  function logResponse(server: BackendServer, status: number): void {
     logRequestEnd(context, accepted, {
       kind: RequestEndKind.Response,
       choice: server.instanceId,
@@ -171,7 +176,10 @@
   }
 
   /** Milliseconds until the stream is likely to be served; undefined where nothing tells. */
-  function likelyOf(cause: RefusalCause, delay: Delay | undefined): number | undefined {
+  function estimateWaitMilliseconds(
+    cause: RefusalCause,
+    delay: StreamDelay | undefined,
+  ): number | undefined {
     if (cause === RefusalCause.GroupBroken) {
       const isBroken = delay?.kind === DelayKind.GroupBroken;
       return context.groupHealth.likelyReturn(isBroken ? delay.brokenForMilliseconds : 0);
@@ -180,52 +188,65 @@
   }
 
   /** `delay` is what kept the stream from being sent at last. */
-  function conclude(cause: RefusalCause, delay?: Delay): void {
+  function conclude(cause: RefusalCause, delay?: StreamDelay): void {
     const reason = progress.outcomes.map(describeOutcome).join('; ') || cause;
     const proof = response.hasBegun ? undefined : proveNotRun(progress.outcomes, reason);
     if (proof === undefined) {
       failRequest(context, accepted, reason, state.timeout !== undefined);
       return;
     }
-    const likelyCause = planRefusalCause(cause, hasGroupStopped());
-    refuseRequest(context, accepted, likelyCause, proof, likelyOf(likelyCause, delay));
+    const reportedCause = planRefusalCause(cause, hasGroupStopped());
+    refuseRequest(
+      context,
+      accepted,
+      reportedCause,
+      proof,
+      estimateWaitMilliseconds(reportedCause, delay),
+    );
   }
 
   function timeOut(cause: RefusalCause, reason: string): void {
     state.timeout = cause;
-    state.current?.cancel(reason);
+    state.currentAttempt?.cancel(reason);
   }
 
   /** A stream that has begun may still go on at a server that is there, up to its last moment. */
-  function mayTimeOut(): boolean {
+  function canTimeOut(): boolean {
     if (!response.hasBegun || state.isMoved) return true;
     return state.server !== undefined && context.liveness.isSilent(state.server);
   }
 
-  function watchPauses(): void {
-    const left = planEventTimeout(route) - record.idleMilliseconds();
-    if (left <= 0 && mayTimeOut())
+  function watchEventGaps(): void {
+    const remainingMilliseconds = planEventTimeout(route) - record.idleMilliseconds();
+    if (remainingMilliseconds <= 0 && canTimeOut())
       timeOut(RefusalCause.Crowded, 'no event before its caller leaves');
-    else eventTimeout = setTimeout(watchPauses, Math.max(left, RECHECK_MILLISECONDS));
+    else
+      eventTimeout = setTimeout(
+        watchEventGaps,
+        Math.max(remainingMilliseconds, OVERDUE_CHECK_INTERVAL_MILLISECONDS),
+      );
   }
 
-  response.onDisconnect(() => state.current?.cancel('caller gone'));
+  response.onDisconnect(() => state.currentAttempt?.cancel('caller gone'));
   const expiry = setTimeout(
     () => timeOut(RefusalCause.Expired, 'time is up'),
     computeRemainingMilliseconds(context, accepted),
   );
   let eventTimeout: NodeJS.Timeout | undefined;
-  watchPauses();
+  watchEventGaps();
   try {
     for (;;) {
       if (response.isEnded) return;
-      const start = startNext();
+      const start = startNextAttempt();
       if (start.kind === StartKind.Delayed) {
         const { delay } = start;
-        const waited = { idleMilliseconds: record.idleMilliseconds(), isMoved: state.isMoved };
-        const isOver = !(await waitOut(context, accepted, delay, waited));
-        if (isOver || state.timeout !== undefined) {
-          conclude(REFUSAL_OF[delay.kind], delay);
+        const waitSituation = {
+          idleMilliseconds: record.idleMilliseconds(),
+          isMoved: state.isMoved,
+        };
+        const mustGiveUp = !(await waitForServer(context, accepted, delay, waitSituation));
+        if (mustGiveUp || state.timeout !== undefined) {
+          conclude(REFUSAL_CAUSE_BY_DELAY[delay.kind], delay);
           return;
         }
         // Ranks that refused for their group may run again.
@@ -244,16 +265,16 @@
         server,
         attempt,
         idleMilliseconds,
-        mayContinue,
+        mayContinue: canResume,
       });
-      state.current = undefined;
-      if (end.kind !== StreamEndKind.Complete) noteMiss(server, end);
+      state.currentAttempt = undefined;
+      if (end.kind !== StreamEndKind.Complete) logFailedAttempt(server, end);
       state.isMoved ||= context.liveness.isSilent(server);
       if (response.isEnded) return;
       progress.outcomes.push(toOutcome(end));
       switch (end.kind) {
         case StreamEndKind.Complete:
-          noteAnswer(server, response.status);
+          logResponse(server, response.status);
           response.finish();
           return;
         case StreamEndKind.Answered:
@@ -261,7 +282,7 @@
             conclude(RefusalCause.Full);
             return;
           }
-          noteAnswer(server, end.head.status);
+          logResponse(server, end.head.status);
           response.send(end.head.status, end.head.headers, end.body);
           return;
         case StreamEndKind.NotRun:
@@ -271,8 +292,8 @@
             context.groupHealth.refused(server);
           }
           break;
-        case StreamEndKind.Broken:
-          if (state.timeout !== undefined || !mayContinue()) {
+        case StreamEndKind.Incomplete:
+          if (state.timeout !== undefined || !canResume()) {
             conclude(state.timeout ?? RefusalCause.Expired);
             return;
           }
--- a/packages/forwarding/src/stream-attempt.ts
+++ b/packages/forwarding/src/stream-attempt.ts
@@ -21,7 +21,7 @@
   Answered = 'answered',
   NotRun = 'notRun',
   /** May have run, and broke off. */
-  Broken = 'broken',
+  Incomplete = 'broken',
 }
 
 export type StreamEnd =
@@ -34,7 +34,7 @@
       /** Refused since another server of its lock-step group is at fault. */
       readonly isGroupBroken: boolean;
     }
-  | { readonly kind: StreamEndKind.Broken; readonly reason: string };
+  | { readonly kind: StreamEndKind.Incomplete; readonly reason: string };
 
 export interface StreamSink {
   /** Last event that the caller has. */
@@ -50,20 +50,23 @@
 }
 
 /** Events of one chunk or more that were already delivered are dropped; a gap ends the attempt. */
-enum Sequence {
+enum EventOrder {
   Next = 'next',
-  Known = 'known',
+  Duplicate = 'known',
   Gap = 'gap',
 }
 
-export function checkSequence(last: number | undefined, id: number | undefined): Sequence {
-  if (id === undefined || last === undefined) return Sequence.Next;
-  if (id <= last) return Sequence.Known;
-  return id === last + 1 ? Sequence.Next : Sequence.Gap;
+export function classifyEventId(
+  lastEventId: number | undefined,
+  id: number | undefined,
+): EventOrder {
+  if (id === undefined || lastEventId === undefined) return EventOrder.Next;
+  if (id <= lastEventId) return EventOrder.Duplicate;
+  return id === lastEventId + 1 ? EventOrder.Next : EventOrder.Gap;
 }
 
 /** Largest body of a failure that is held to be passed on whole. */
-const MAXIMUM_FAILURE_BYTES = 1024 * 1024;
+const MAXIMUM_ERROR_BODY_BYTES = 1024 * 1024;
 
 export function startStreamAttempt(
   context: ForwardContext,
@@ -77,35 +80,35 @@
   const { promptTokens } = request;
   const startedAt = context.now();
   const splitter = createEventSplitter();
-  const failureBody: Buffer[] = [];
-  let failureBytes = 0;
+  const errorBody: Buffer[] = [];
+  let errorBodyBytes = 0;
   let head: ResponseHead | undefined;
-  let doubt: string | undefined;
-  let wasAnswered = false;
+  let fault: string | undefined;
+  let hasFirstEvent = false;
   let exchange: Exchange | undefined;
 
-  function giveUp(reason: string): void {
-    doubt ??= reason;
+  function abandon(reason: string): void {
+    fault ??= reason;
     exchange?.cancel(reason);
   }
 
-  function takeEvent(streamHead: ResponseHead, event: StreamEvent): void {
-    if (doubt !== undefined) return;
+  function handleEvent(streamHead: ResponseHead, event: StreamEvent): void {
+    if (fault !== undefined) return;
     pulse.beat(accepted.service, server.instanceId);
     liveness.heard(server.instanceId);
-    switch (checkSequence(sink.lastEventId(), event.id)) {
-      case Sequence.Known:
+    switch (classifyEventId(sink.lastEventId(), event.id)) {
+      case EventOrder.Duplicate:
         return;
-      case Sequence.Gap:
-        giveUp(`event ${event.id} after ${sink.lastEventId()}`);
+      case EventOrder.Gap:
+        abandon(`event ${event.id} after ${sink.lastEventId()}`);
         return;
-      case Sequence.Next:
+      case EventOrder.Next:
         break;
       default:
         return;
     }
-    if (!wasAnswered) {
-      wasAnswered = true;
+    if (!hasFirstEvent) {
+      hasFirstEvent = true;
       ledger.answered(server.instanceId, context.now() - startedAt, promptTokens);
     }
     if (!sink.onEvent(streamHead, event)) {
@@ -114,18 +117,18 @@
     }
   }
 
-  function takeData(chunk: Buffer): void {
-    if (head === undefined || doubt !== undefined) return;
+  function handleData(chunk: Buffer): void {
+    if (head === undefined || fault !== undefined) return;
     if (isSuccess(head.status)) {
-      for (const event of splitter.push(chunk)) takeEvent(head, event);
+      for (const event of splitter.push(chunk)) handleEvent(head, event);
       return;
     }
-    failureBytes += chunk.length;
-    if (failureBytes > MAXIMUM_FAILURE_BYTES) giveUp('failure too large');
-    else failureBody.push(chunk);
+    errorBodyBytes += chunk.length;
+    if (errorBodyBytes > MAXIMUM_ERROR_BODY_BYTES) abandon('failure too large');
+    else errorBody.push(chunk);
   }
 
-  function judge(end: ExchangeEnd): StreamEnd {
+  function toStreamEnd(end: ExchangeEnd): StreamEnd {
     if (end.kind === ExchangeEndKind.NotSent) {
       return {
         kind: StreamEndKind.NotRun,
@@ -134,9 +137,9 @@
         isGroupBroken: false,
       };
     }
-    if (doubt !== undefined) return { kind: StreamEndKind.Broken, reason: doubt };
+    if (fault !== undefined) return { kind: StreamEndKind.Incomplete, reason: fault };
     if (end.kind !== ExchangeEndKind.Complete || head === undefined) {
-      return { kind: StreamEndKind.Broken, reason: end.reason };
+      return { kind: StreamEndKind.Incomplete, reason: end.reason };
     }
     if (provesNotRun(head)) {
       const isGroupBroken =
@@ -152,22 +155,23 @@
       };
     }
     if (!isSuccess(head.status)) {
-      return { kind: StreamEndKind.Answered, head, body: Buffer.concat(failureBody) };
+      return { kind: StreamEndKind.Answered, head, body: Buffer.concat(errorBody) };
     }
-    if (splitter.hasRest()) return { kind: StreamEndKind.Broken, reason: 'ended within an event' };
-    if (!wasAnswered) return { kind: StreamEndKind.Broken, reason: 'ended without an event' };
+    if (splitter.hasPartialEvent())
+      return { kind: StreamEndKind.Incomplete, reason: 'ended within an event' };
+    if (!hasFirstEvent) return { kind: StreamEndKind.Incomplete, reason: 'ended without an event' };
     return { kind: StreamEndKind.Complete };
   }
 
   /** A stream that is given up says nothing of a server with a queue, unless it gives no sign of life. */
-  function verdictOfBroken(exchangeEnd: ExchangeEnd): Verdict {
-    if (exchangeEnd.kind !== ExchangeEndKind.Cancelled || doubt !== undefined)
+  function classifyIncomplete(exchangeEnd: ExchangeEnd): Verdict {
+    if (exchangeEnd.kind !== ExchangeEndKind.Cancelled || fault !== undefined)
       return Verdict.Failing;
     if (liveness.isSilent(server)) return Verdict.Failing;
-    return wasAnswered ? Verdict.Sound : Verdict.Open;
+    return hasFirstEvent ? Verdict.Sound : Verdict.Open;
   }
 
-  function verdictOf(end: StreamEnd, exchangeEnd: ExchangeEnd): Verdict {
+  function classifyEnd(end: StreamEnd, exchangeEnd: ExchangeEnd): Verdict {
     switch (end.kind) {
       case StreamEndKind.Complete:
         return Verdict.Sound;
@@ -176,8 +180,8 @@
       case StreamEndKind.NotRun:
         if (end.isGroupBroken) return Verdict.Open;
         return end.wasRefused ? judgeRefusal(ledger.hasRoom(server)) : Verdict.Failing;
-      case StreamEndKind.Broken:
-        return verdictOfBroken(exchangeEnd);
+      case StreamEndKind.Incomplete:
+        return classifyIncomplete(exchangeEnd);
       default: {
         const unreachable: never = end;
         return unreachable;
@@ -198,17 +202,17 @@
           if (head.load !== undefined) ledger.reported(server.instanceId, head.load);
           context.statements.onAnswer({ server, head, requestId, sentAt: startedAt });
           if (provesNotRun(head)) return;
-          const doubted = findHeadFault(head, requestId);
-          if (doubted !== undefined) giveUp(doubted);
+          const headFault = findHeadFault(head, requestId);
+          if (headFault !== undefined) abandon(headFault);
         },
-        onData: takeData,
+        onData: handleData,
         onEnd(exchangeEnd) {
-          const judged = judge(exchangeEnd);
+          const streamEnd = toStreamEnd(exchangeEnd);
           const isCancelled = exchangeEnd.kind === ExchangeEndKind.Cancelled;
           if (isCancelled && head === undefined) context.metrics.countUnansweredSend();
-          const verdict = verdictOf(judged, exchangeEnd);
-          ledger.ended(server.instanceId, verdict, promptTokens, wasAnswered);
-          resolve(judged);
+          const verdict = classifyEnd(streamEnd, exchangeEnd);
+          ledger.ended(server.instanceId, verdict, promptTokens, hasFirstEvent);
+          resolve(streamEnd);
         },
       },
     );
--- a/packages/forwarding/src/stream-delay.ts
+++ b/packages/forwarding/src/stream-delay.ts
@@ -22,7 +22,7 @@
   BackingOff = 'backingOff',
 }
 
-export type Delay =
+export type StreamDelay =
   | {
       readonly kind: DelayKind.GroupBroken;
       readonly brokenForMilliseconds: number;
@@ -34,7 +34,10 @@
   | { readonly kind: DelayKind.BackingOff; readonly roomInMilliseconds: number };
 
 /** What keeps a stream from being sent now; undefined where a server was chosen or none is left. */
-export function delayOf(context: ForwardContext, choice: ServerChoice): Delay | undefined {
+export function toStreamDelay(
+  context: ForwardContext,
+  choice: ServerChoice,
+): StreamDelay | undefined {
   switch (choice.kind) {
     case ServerChoiceKind.AllBroken: {
       const { brokenForMilliseconds } = choice;
@@ -62,14 +65,14 @@
 }
 
 /** Why a caller is refused whose stream is not kept any longer. */
-export const REFUSAL_OF: Readonly<Record<DelayKind, RefusalCause>> = {
+export const REFUSAL_CAUSE_BY_DELAY: Readonly<Record<DelayKind, RefusalCause>> = {
   [DelayKind.GroupBroken]: RefusalCause.GroupBroken,
   [DelayKind.Crowded]: RefusalCause.Crowded,
   [DelayKind.Limited]: RefusalCause.Full,
   [DelayKind.BackingOff]: RefusalCause.BackingOff,
 };
 
-const REASON_OF: Readonly<Record<DelayKind, string>> = {
+const REASON_BY_DELAY: Readonly<Record<DelayKind, string>> = {
   [DelayKind.GroupBroken]: 'its group stands still',
   [DelayKind.Crowded]: 'every slot is taken',
   [DelayKind.Limited]: 'every server has had its share',
@@ -77,10 +80,10 @@
 };
 
 /** Milliseconds for which the stream is kept; 0 when it has to be given up now. */
-function planDelay(
+function computeWait(
   { route, isRetry }: AcceptedRequest,
-  delay: Delay,
-  situation: Situation,
+  delay: StreamDelay,
+  situation: WaitSituation,
 ): number {
   switch (delay.kind) {
     case DelayKind.GroupBroken:
@@ -99,7 +102,7 @@
 }
 
 /** What decided, for the log. */
-function factsOf(delay: Delay, wait: number): Readonly<Record<string, number>> {
+function delayFacts(delay: StreamDelay, wait: number): Readonly<Record<string, number>> {
   switch (delay.kind) {
     case DelayKind.GroupBroken:
       return {
@@ -118,7 +121,7 @@
   }
 }
 
-interface Situation {
+interface WaitSituation {
   /** Since the request arrived, or since its caller's last event. */
   readonly idleMilliseconds: number;
   readonly remainingMilliseconds: number;
@@ -129,11 +132,11 @@
 }
 
 /** Waits until a server may take the stream; false when its caller is to be told instead. */
-export async function waitOut(
+export async function waitForServer(
   context: ForwardContext,
   accepted: AcceptedRequest,
-  delay: Delay,
-  { idleMilliseconds, isMoved }: Pick<Situation, 'idleMilliseconds' | 'isMoved'>,
+  delay: StreamDelay,
+  { idleMilliseconds, isMoved }: Pick<WaitSituation, 'idleMilliseconds' | 'isMoved'>,
 ): Promise<boolean> {
   const situation = {
     idleMilliseconds,
@@ -141,20 +144,20 @@
     remainingMilliseconds: computeRemainingMilliseconds(context, accepted),
     hasBegun: accepted.response.hasBegun,
   };
-  const wait = planDelay(accepted, delay, situation);
+  const wait = computeWait(accepted, delay, situation);
   const { kind } = delay;
   context.logger.decision({
     kind: 'wait',
     subject: accepted.requestId,
     choice: wait === 0 ? 'give up' : 'keep',
-    reason: REASON_OF[kind],
+    reason: REASON_BY_DELAY[kind],
     facts: {
       longest: Math.round(wait),
       silence: Math.round(idleMilliseconds),
       remaining: situation.remainingMilliseconds,
       hasBegun: situation.hasBegun,
       isRetry: accepted.isRetry,
-      ...factsOf(delay, wait),
+      ...delayFacts(delay, wait),
     },
   });
   if (wait === 0) return false;
--- a/packages/forwarding/src/stream-record.ts
+++ b/packages/forwarding/src/stream-record.ts
@@ -31,11 +31,11 @@
   const { response, route, request, arrivedAt } = accepted;
   let { lastEventId } = request;
   let lastEventAt = context.now();
-  let isBackedUp = false;
+  let isBackpressured = false;
   let firstEventMilliseconds: number | undefined;
   let longestPauseMilliseconds = 0;
 
-  function noteEvent(head: ResponseHead): void {
+  function recordEvent(head: ResponseHead): void {
     const at = context.now();
     if (response.hasBegun) {
       longestPauseMilliseconds = Math.max(longestPauseMilliseconds, at - lastEventAt);
@@ -51,20 +51,20 @@
     sink: {
       lastEventId: () => lastEventId,
       onEvent(head: ResponseHead, event: StreamEvent) {
-        noteEvent(head);
+        recordEvent(head);
         lastEventId = event.id ?? lastEventId;
-        isBackedUp = !response.write(event.bytes);
-        return !isBackedUp;
+        isBackpressured = !response.write(event.bytes);
+        return !isBackpressured;
       },
       onDrain(listener) {
         response.onDrain(() => {
-          isBackedUp = false;
+          isBackpressured = false;
           lastEventAt = context.now();
           listener();
         });
       },
     },
-    idleMilliseconds: () => (isBackedUp ? 0 : context.now() - lastEventAt),
+    idleMilliseconds: () => (isBackpressured ? 0 : context.now() - lastEventAt),
     isOnTime: () =>
       firstEventMilliseconds !== undefined &&
       firstEventMilliseconds <= route.objectiveMilliseconds &&
