--- a/packages/forwarding/src/backoff.test.ts
+++ b/packages/forwarding/src/backoff.test.ts
@@ -5,22 +5,22 @@
 import { afterEach, expect, it } from 'vitest';
 
 import { sendRequest } from './caller-fixture.js';
-import type { ReceivedAnswer } from './caller-fixture.js';
+import type { ReceivedResponse } from './caller-fixture.js';
 import {
-  answerWith,
-  loseAnswer,
-  slowly,
+  respondWith,
+  dropConnection,
+  withDelay,
   startFixture,
   streamEvents,
 } from './forwarding-fixture.js';
-import type { Fixture, Script } from './forwarding-fixture.js';
+import type { BackendHandler, Fixture } from './forwarding-fixture.js';
 
 let fixture: Fixture;
 
 afterEach(() => fixture.close());
 
 /** Refuses the request and asks for so many seconds without others. */
-function askForBackoff(seconds: number): Script {
+function askForBackoff(seconds: number): BackendHandler {
   return (incoming, response) => {
     response.writeHead(503, {
       'request-id': String(incoming.headers['request-id']),
@@ -32,7 +32,7 @@
   };
 }
 
-function send(id: string): Promise<ReceivedAnswer> {
+function send(id: string): Promise<ReceivedResponse> {
   return sendRequest(fixture.port, id);
 }
 
@@ -46,9 +46,9 @@
   ['idempotent requests', RequestKind.Idempotent],
 ])('sends no %s to a server that backs off, and all to others', async (_, kind) => {
   // Guards against entries that go on sending to a server that has asked for rest.
-  const serve = kind === RequestKind.Streaming ? streamEvents(2) : answerWith('answer');
+  const serve = kind === RequestKind.Streaming ? streamEvents(2) : respondWith('answer');
   fixture = await startFixture({
-    servers: { backingOff: askForBackoff(30), other: slowly(serve) },
+    servers: { backingOff: askForBackoff(30), other: withDelay(serve) },
     route: { kind },
   });
   for (let index = 0; index < 8; index += 1) {
@@ -58,7 +58,7 @@
 });
 
 /** Treats the first request in one way and all others in another. */
-function changing(first: Script, later: Script): Script {
+function changing(first: BackendHandler, later: BackendHandler): BackendHandler {
   let isFirst = true;
   return (incoming, response) => {
     const script = isFirst ? first : later;
@@ -67,11 +67,11 @@
   };
 }
 
-const hang: Script = () => undefined;
+const hang: BackendHandler = () => undefined;
 
 it.each([
-  ['second try', RequestKind.Idempotent, answerWith('answer'), loseAnswer],
-  ['hedge', RequestKind.Idempotent, answerWith('answer'), hang],
+  ['second try', RequestKind.Idempotent, respondWith('answer'), dropConnection],
+  ['hedge', RequestKind.Idempotent, respondWith('answer'), hang],
   ['resumed stream', RequestKind.Streaming, streamEvents(6), streamEvents(6, 3)],
 ])('sends no %s to a server that backs off', async (_, kind, serve, failure) => {
   // Guards against ways of sending that pass the choice of a server by.
@@ -96,7 +96,7 @@
 it('sends to the server again when the backoff is over', async () => {
   // Guards against servers that stay without work after a backoff.
   fixture = await startFixture({
-    servers: { one: askForBackoff(0.3), other: slowly(answerWith('answer')) },
+    servers: { one: askForBackoff(0.3), other: withDelay(respondWith('answer')) },
   });
   await send('first');
   await new Promise((resolve) => {
@@ -109,7 +109,7 @@
 it('keeps a request where a backoff is over soon', async () => {
   // Guards against callers that are told to come back later than they could be served.
   fixture = await startFixture({
-    servers: { one: changing(askForBackoff(0.3), answerWith('answer')) },
+    servers: { one: changing(askForBackoff(0.3), respondWith('answer')) },
     route: { kind: RequestKind.AtMostOnce, objectiveMilliseconds: 60_000 },
   });
   await send('first');
@@ -126,7 +126,7 @@
     route: { timeoutMilliseconds: 10_000 },
   });
   await send('first');
-  const { status, retryAfter, milliseconds } = await send('second');
+  const { status, retryAfterSeconds: retryAfter, milliseconds } = await send('second');
   expect(status).toBe(503);
   expect(milliseconds).toBeLessThan(200);
   expect(retryAfter).toBeGreaterThan(1.3);
--- a/packages/forwarding/src/caller-fixture.ts
+++ b/packages/forwarding/src/caller-fixture.ts
@@ -3,16 +3,16 @@
  */
 import { request } from 'node:http';
 
-export interface ReceivedAnswer {
+export interface ReceivedResponse {
   readonly status: number;
   /** Seconds; NaN where the answer has none. */
-  readonly retryAfter: number;
+  readonly retryAfterSeconds: number;
   /** From the request to the end of the answer. */
   readonly milliseconds: number;
 }
 
 /** Sends one request to the entry at the port. Rejects where the connection fails. */
-export function sendRequest(port: number, requestId: string): Promise<ReceivedAnswer> {
+export function sendRequest(port: number, requestId: string): Promise<ReceivedResponse> {
   const sentAt = performance.now();
   return new Promise((resolve, reject) => {
     const headers = { 'request-id': requestId };
@@ -21,7 +21,7 @@
       incoming.on('end', () =>
         resolve({
           status: incoming.statusCode ?? 0,
-          retryAfter: Number(incoming.headers['retry-after'] ?? NaN),
+          retryAfterSeconds: Number(incoming.headers['retry-after'] ?? NaN),
           milliseconds: performance.now() - sentAt,
         }),
       );
--- a/packages/forwarding/src/departure.test.ts
+++ b/packages/forwarding/src/departure.test.ts
@@ -5,7 +5,7 @@
 import { afterEach, expect, it } from 'vitest';
 
 import { sendRequest } from './caller-fixture.js';
-import { answerLeaving, answerWith, startFixture } from './forwarding-fixture.js';
+import { respondLeaving, respondWith, startFixture } from './forwarding-fixture.js';
 import type { Fixture } from './forwarding-fixture.js';
 
 let fixture: Fixture;
@@ -15,7 +15,7 @@
 it('sends nothing more to a server that leaves, though it is listed as ready', async () => {
   // Guards against requests that a leaving server is too late to serve.
   fixture = await startFixture({
-    servers: { leaving: answerLeaving, other: answerWith('answer') },
+    servers: { leaving: respondLeaving, other: respondWith('answer') },
     route: { kind: RequestKind.AtMostOnce },
   });
   for (let index = 0; index < 5; index += 1)
@@ -26,7 +26,7 @@
 
 it('refuses a request at once where every server leaves', async () => {
   // Guards against callers that wait for servers that will not serve them.
-  fixture = await startFixture({ servers: { leaving: answerLeaving } });
+  fixture = await startFixture({ servers: { leaving: respondLeaving } });
   await sendRequest(fixture.port, 'first');
   const sentAt = performance.now();
   expect((await sendRequest(fixture.port, 'second')).status).toBe(503);
--- a/packages/forwarding/src/forwarding-fixture.ts
+++ b/packages/forwarding/src/forwarding-fixture.ts
@@ -30,9 +30,9 @@
 import { createServerStatements } from './server-statements.js';
 
 /** What one backend server does with a request. */
-export type Script = (incoming: IncomingMessage, response: ServerResponse) => void;
+export type BackendHandler = (incoming: IncomingMessage, response: ServerResponse) => void;
 
-export interface Arrival {
+export interface ReceivedRequest {
   readonly instanceId: string;
   readonly headers: IncomingMessage['headers'];
   readonly body: string;
@@ -40,7 +40,7 @@
 
 export interface Fixture {
   readonly port: number;
-  readonly arrivals: readonly Arrival[];
+  readonly arrivals: readonly ReceivedRequest[];
   readonly catalog: Catalog;
   readonly isStuck: { value: boolean };
   readonly groupHealth: GroupHealth;
@@ -52,12 +52,12 @@
 
 export interface FixtureOptions {
   /** By instance id; `undefined` stands for a server that refuses connections. */
-  readonly servers: Readonly<Record<string, Script | undefined>>;
+  readonly servers: Readonly<Record<string, BackendHandler | undefined>>;
   readonly route?: Partial<Route>;
   readonly withConfiguration?: boolean;
   readonly retrySlack?: number;
   /** Requests a second that each server bears while cold, over all entries; no bound without it. */
-  readonly coldRate?: number;
+  readonly coldRequestsPerSecond?: number;
   readonly sendingEntries?: SendingEntries;
   /** Ranks of lock-step groups, by instance id. */
   readonly groups?: Readonly<Record<string, GroupRank>>;
@@ -81,7 +81,7 @@
   resumable: false,
 };
 
-function configurationWith(route: Route, coldRate: number): Configuration {
+function configurationWith(route: Route, coldRequestsPerSecond: number): Configuration {
   return {
     version: 1,
     routes: [route],
@@ -91,7 +91,7 @@
         {
           name: SERVICE,
           maximumConnections: 100,
-          coldRequestsPerSecond: coldRate,
+          coldRequestsPerSecond,
           engine: undefined,
         },
       ],
@@ -131,22 +131,22 @@
   });
 }
 
-const ALONE: SendingEntries = { own: 'entry', names: ['entry'], count: 1 };
+const SINGLE_ENTRY: SendingEntries = { own: 'entry', names: ['entry'], count: 1 };
 
 export async function startFixture(options: FixtureOptions): Promise<Fixture> {
-  const arrivals: Arrival[] = [];
+  const arrivals: ReceivedRequest[] = [];
   const running: Server[] = [];
   const sockets = new Set<Socket>();
   const servers = new Map<string, BackendServer>();
-  for (const [instanceId, script] of Object.entries(options.servers)) {
+  for (const [instanceId, handler] of Object.entries(options.servers)) {
     let port: number;
-    if (script === undefined) {
+    if (handler === undefined) {
       port = await freePort();
     } else {
       const server = createServer((incoming, response) => {
         void readText(incoming).then((body) => {
           arrivals.push({ instanceId, headers: incoming.headers, body });
-          script(incoming, response);
+          handler(incoming, response);
         });
       });
       server.on('connection', (socket) => sockets.add(socket));
@@ -170,7 +170,10 @@
   if (options.withConfiguration !== false) {
     catalog.replaceOperators({
       revision: 1,
-      configuration: configurationWith({ ...ROUTE, ...options.route }, options.coldRate ?? 0),
+      configuration: configurationWith(
+        { ...ROUTE, ...options.route },
+        options.coldRequestsPerSecond ?? 0,
+      ),
       drainedZones: new Set(),
     });
   }
@@ -190,11 +193,11 @@
       () => 1,
       now,
     ),
-    coldShare: createColdShare(() => options.sendingEntries ?? ALONE, now),
+    coldShare: createColdShare(() => options.sendingEntries ?? SINGLE_ENTRY, now),
     statements: createServerStatements({
       rateLimits: createServerRateLimits({
         logger,
-        entries: () => options.sendingEntries ?? ALONE,
+        entries: () => options.sendingEntries ?? SINGLE_ENTRY,
         onChange: () => undefined,
         now,
       }),
@@ -238,7 +241,7 @@
 }
 
 /** Answers in full. */
-export function answerWith(text: string, status = 200): Script {
+export function respondWith(text: string, status = 200): BackendHandler {
   return (incoming, response) => {
     response.writeHead(status, {
       'request-id': String(incoming.headers['request-id']),
@@ -250,12 +253,12 @@
 }
 
 /** Answers later than a server is expected to whose times are not known yet. */
-export function slowly(script: Script): Script {
-  return (incoming, response) => void setTimeout(() => script(incoming, response), 80);
+export function withDelay(handler: BackendHandler): BackendHandler {
+  return (incoming, response) => void setTimeout(() => handler(incoming, response), 80);
 }
 
 /** States that it did not run the request. */
-export const refuseAll: Script = (incoming, response) => {
+export const refuseRequest: BackendHandler = (incoming, response) => {
   response.writeHead(503, {
     'request-id': String(incoming.headers['request-id']),
     'not-run': '1',
@@ -265,7 +268,7 @@
 };
 
 /** Answers in full, and says that it leaves. */
-export const answerLeaving: Script = (incoming, response) => {
+export const respondLeaving: BackendHandler = (incoming, response) => {
   response.writeHead(200, {
     'request-id': String(incoming.headers['request-id']),
     signature: 'signed',
@@ -276,12 +279,12 @@
 };
 
 /** Takes the request and closes the connection without an answer. */
-export const loseAnswer: Script = (incoming) => {
+export const dropConnection: BackendHandler = (incoming) => {
   incoming.socket.destroy();
 };
 
 /** Streams events from `from`, and closes the connection after `until` in the middle of the next. */
-export function streamEvents(last: number, brokenAfter?: number): Script {
+export function streamEvents(last: number, interruptedAfter?: number): BackendHandler {
   return (incoming, response) => {
     const from = Number(incoming.headers['last-event'] ?? 0) + 1;
     response.writeHead(200, {
@@ -290,7 +293,7 @@
       'content-type': 'text/event-stream',
     });
     for (let id = from; id <= last; id += 1) {
-      if (brokenAfter !== undefined && id > brokenAfter) {
+      if (interruptedAfter !== undefined && id > interruptedAfter) {
         response.write(`id: ${id}\ndata: ha`, () => incoming.socket.destroy());
         return;
       }
--- a/packages/forwarding/src/forwarding.test.ts
+++ b/packages/forwarding/src/forwarding.test.ts
@@ -4,13 +4,13 @@
 import { afterEach, describe, expect, it } from 'vitest';
 
 import {
-  answerWith,
-  loseAnswer,
-  refuseAll,
+  respondWith,
+  dropConnection,
+  refuseRequest,
   startFixture,
   streamEvents,
 } from './forwarding-fixture.js';
-import type { Fixture, FixtureOptions, Script } from './forwarding-fixture.js';
+import type { BackendHandler, Fixture, FixtureOptions } from './forwarding-fixture.js';
 
 interface Reply {
   readonly status: number;
@@ -67,7 +67,7 @@
 
 describe('a request that may run once at most', () => {
   it('is passed on with its body and comes back unchanged', async () => {
-    const { arrivals } = await start({ servers: { one: answerWith('booked') } });
+    const { arrivals } = await start({ servers: { one: respondWith('booked') } });
     const reply = await send();
     expect(reply).toMatchObject({ status: 200, body: 'booked', isWhole: true });
     expect(arrivals).toMatchObject([{ instanceId: 'one', body: 'body' }]);
@@ -76,7 +76,9 @@
   it('is never sent again when its answer is lost', async () => {
     // A server runs a booking and its connection closes before the answer is out. Sent again, the
     // customer would be booked twice; told "not run", the customer would book elsewhere.
-    const { arrivals } = await start({ servers: { one: loseAnswer, two: answerWith('booked') } });
+    const { arrivals } = await start({
+      servers: { one: dropConnection, two: respondWith('booked') },
+    });
     const reply = await send();
     expect(reply.status).toBe(502);
     expect(reply.headers['retry-after']).toBeUndefined();
@@ -85,14 +87,14 @@
 
   it('goes to another server when the first cannot be reached', async () => {
     // A server is gone and its address refuses connections: no byte has left, so nothing ran.
-    const { arrivals } = await start({ servers: { one: undefined, two: answerWith('booked') } });
+    const { arrivals } = await start({ servers: { one: undefined, two: respondWith('booked') } });
     expect(await send()).toMatchObject({ status: 200, body: 'booked' });
     expect(arrivals).toHaveLength(1);
   });
 
   it('is refused with a time to come back when no server ran it', async () => {
     // Every server is full and says so: the caller hears at once that nothing ran.
-    await start({ servers: { one: refuseAll, two: refuseAll } });
+    await start({ servers: { one: refuseRequest, two: refuseRequest } });
     const reply = await send();
     expect(reply.status).toBe(503);
     expect(Number(reply.headers['retry-after'])).toBeGreaterThan(0);
@@ -100,13 +102,13 @@
 
   it('is not refused as "not run" when one of its attempts may have run', async () => {
     // The first server refuses, the second takes the request and its answer is lost.
-    await start({ servers: { one: refuseAll, two: loseAnswer } });
+    await start({ servers: { one: refuseRequest, two: dropConnection } });
     expect((await send()).status).toBe(502);
   });
 });
 
 describe('an answer', () => {
-  const brokenOff: Script = (incoming, response) => {
+  const truncated: BackendHandler = (incoming, response) => {
     response.writeHead(200, {
       'request-id': String(incoming.headers['request-id']),
       signature: 'signed',
@@ -117,7 +119,7 @@
 
   it('that breaks off is fetched again where that does no harm', async () => {
     const { arrivals } = await start({
-      servers: { one: brokenOff, two: answerWith('whole') },
+      servers: { one: truncated, two: respondWith('whole') },
       route: IDEMPOTENT,
     });
     expect(await send()).toMatchObject({ status: 200, body: 'whole' });
@@ -127,7 +129,7 @@
   it('without a length that is reset is not taken for the whole', async () => {
     // A server sends no length and ends its answer with the connection, which is reset on the
     // way. A caller that got this as a success would act on half an answer.
-    const reset: Script = (incoming) => {
+    const reset: BackendHandler = (incoming) => {
       incoming.socket.write(
         'HTTP/1.1 200 OK\r\nRequest-Id: request\r\nSignature: signed\r\nConnection: close\r\n\r\nhalf',
         () => incoming.socket.resetAndDestroy(),
@@ -138,7 +140,7 @@
   });
 
   it('without a length that ends by a close is the whole', async () => {
-    const closing: Script = (incoming) => {
+    const closing: BackendHandler = (incoming) => {
       incoming.socket.end(
         'HTTP/1.1 200 OK\r\nRequest-Id: request\r\nSignature: signed\r\nConnection: close\r\n\r\nwhole',
       );
@@ -149,17 +151,17 @@
 
   it('to another request is never passed on', async () => {
     // A server answers an earlier request where the answer to this one is due.
-    const foreign: Script = (_incoming, response) => {
+    const wrongRequest: BackendHandler = (_incoming, response) => {
       response.writeHead(200, { 'request-id': 'other', signature: 'signed', 'content-length': 3 });
       response.end('his');
     };
-    await start({ servers: { one: foreign } });
+    await start({ servers: { one: wrongRequest } });
     const reply = await send();
     expect(reply).toMatchObject({ status: 502, body: '' });
   });
 
   it('of success without a signature is not passed on', async () => {
-    const unsigned: Script = (incoming, response) => {
+    const unsigned: BackendHandler = (incoming, response) => {
       response.writeHead(200, { 'request-id': String(incoming.headers['request-id']) });
       response.end('bytes');
     };
@@ -168,16 +170,16 @@
   });
 
   it('comes at the route’s timeout even if no server answers', async () => {
-    const silent: Script = () => undefined;
+    const silent: BackendHandler = () => undefined;
     await start({ servers: { one: silent }, route: { timeoutMilliseconds: 120 } });
     expect((await send()).status).toBe(504);
   });
 
   it('comes from another server after one has not answered at all', async () => {
     // Guards against taking a request that was given up unanswered for a sign of soundness.
-    const hanging: Script = () => undefined;
+    const hanging: BackendHandler = () => undefined;
     await start({
-      servers: { one: hanging, two: answerWith('text') },
+      servers: { one: hanging, two: respondWith('text') },
       route: { timeoutMilliseconds: 200, objectiveMilliseconds: 100 },
     });
     expect((await send()).status).toBe(504);
@@ -210,7 +212,7 @@
   });
 
   it('with a gap is broken off rather than passed on', async () => {
-    const gap: Script = (incoming, response) => {
+    const gap: BackendHandler = (incoming, response) => {
       response.writeHead(200, {
         'request-id': String(incoming.headers['request-id']),
         signature: 'signed',
@@ -245,7 +247,7 @@
     const hasArrived = new Promise<void>((resolve) => {
       arrived = resolve;
     });
-    const watching: Script = (incoming) => {
+    const watching: BackendHandler = (incoming) => {
       incoming.socket.on('close', closed);
       arrived();
     };
@@ -265,19 +267,19 @@
 
   it('is told to come back while no configuration is known', async () => {
     // An instance that has just started must not say that a route does not exist.
-    await start({ servers: { one: answerWith('text') }, withConfiguration: false });
+    await start({ servers: { one: respondWith('text') }, withConfiguration: false });
     const reply = await send();
     expect(reply.status).toBe(503);
     expect(reply.headers['retry-after']).toBeDefined();
   });
 
   it('with a body over the limit is turned away', async () => {
-    await start({ servers: { one: answerWith('text') } });
+    await start({ servers: { one: respondWith('text') } });
     expect((await send({}, 'x'.repeat(1001))).status).toBe(413);
   });
 
   it('without a request id is turned away before anything is sent on', async () => {
-    const { arrivals, port } = await start({ servers: { one: answerWith('text') } });
+    const { arrivals, port } = await start({ servers: { one: respondWith('text') } });
     const status = await new Promise((resolve) => {
       request({ host: '127.0.0.1', port, method: 'POST' }, (incoming) => {
         incoming.resume();
--- a/packages/forwarding/src/group-wait.test.ts
+++ b/packages/forwarding/src/group-wait.test.ts
@@ -8,7 +8,7 @@
 import { afterEach, expect, it } from 'vitest';
 
 import { startFixture, streamEvents } from './forwarding-fixture.js';
-import type { Fixture, Script } from './forwarding-fixture.js';
+import type { BackendHandler, Fixture } from './forwarding-fixture.js';
 
 let fixture: Fixture;
 
@@ -48,12 +48,12 @@
   });
 }
 
-function tell(rank: number, epoch: number, isOpen: boolean): void {
+function reportRank(rank: number, epoch: number, isOpen: boolean): void {
   fixture.groupHealth.reported({ group: 'group', rank, epoch, isOpen });
 }
 
 /** Refuses as an engine does whose group stands still on account of another rank. */
-const refuseForGroup: Script = (incoming, response) => {
+const refuseForGroup: BackendHandler = (incoming, response) => {
   response.writeHead(503, {
     'request-id': String(incoming.headers['request-id']),
     'not-run': '1',
@@ -71,9 +71,9 @@
     route: STREAM,
     groups: GROUPS,
   });
-  tell(0, 1, false);
+  reportRank(0, 1, false);
   const reply = stream();
-  setTimeout(() => tell(0, 2, true), 100);
+  setTimeout(() => reportRank(0, 2, true), 100);
   expect(await reply).toMatchObject({ status: 200, body: 'id: 1\ndata: 1\n\nid: 2\ndata: 2\n\n' });
   expect(fixture.arrivals).toHaveLength(1);
 });
@@ -86,8 +86,8 @@
     route: { ...STREAM, timeoutMilliseconds: 700 },
     groups: GROUPS,
   });
-  tell(0, 1, true);
-  tell(0, 1, false);
+  reportRank(0, 1, true);
+  reportRank(0, 1, false);
   const { status, retryAfter } = await stream();
   expect(status).toBe(503);
   expect(Number(retryAfter)).toBeGreaterThan(0);
@@ -100,7 +100,7 @@
     route: { ...STREAM, timeoutMilliseconds: 700 },
     groups: GROUPS,
   });
-  tell(0, 1, false);
+  reportRank(0, 1, false);
   const { status, retryAfter } = await stream();
   expect(status).toBe(503);
   expect(Number(retryAfter)).toBeGreaterThan(0);
@@ -125,7 +125,7 @@
   fixture = await startFixture({
     servers: { one: streamEvents(2) },
     route: STREAM,
-    coldRate: 1,
+    coldRequestsPerSecond: 1,
   });
   expect((await stream()).status).toBe(200);
   await sleep(500);
--- a/packages/forwarding/src/late-body.test.ts
+++ b/packages/forwarding/src/late-body.test.ts
@@ -2,7 +2,7 @@
 
 import { afterEach, describe, expect, it } from 'vitest';
 
-import { answerWith, startFixture } from './forwarding-fixture.js';
+import { respondWith, startFixture } from './forwarding-fixture.js';
 import type { Fixture } from './forwarding-fixture.js';
 
 let fixture: Fixture | undefined;
@@ -14,7 +14,7 @@
 describe('a request whose body comes after its head', () => {
   it('is decided on the configuration that is in force when it is whole', async () => {
     // Guards against an entry that shows a new configuration and then decides on the former one.
-    fixture = await startFixture({ servers: { one: answerWith('whole') } });
+    fixture = await startFixture({ servers: { one: respondWith('whole') } });
     const { catalog, port, arrivals } = fixture;
     const { configuration } = catalog.operators();
     if (configuration === undefined) throw new Error('the fixture has no configuration');
--- a/packages/forwarding/src/rate-limit.test.ts
+++ b/packages/forwarding/src/rate-limit.test.ts
@@ -5,16 +5,16 @@
 import { afterEach, expect, it } from 'vitest';
 
 import { sendRequest } from './caller-fixture.js';
-import type { ReceivedAnswer } from './caller-fixture.js';
-import { refuseAll, startFixture } from './forwarding-fixture.js';
-import type { Fixture, Script } from './forwarding-fixture.js';
+import type { ReceivedResponse } from './caller-fixture.js';
+import { refuseRequest, startFixture } from './forwarding-fixture.js';
+import type { BackendHandler, Fixture } from './forwarding-fixture.js';
 
 let fixture: Fixture;
 
 afterEach(() => fixture.close());
 
 /** Answers in full, or with a stream of one event, and states the limit. */
-function answerLimited(rateLimit: number, isStream: boolean): Script {
+function answerLimited(rateLimit: number, isStream: boolean): BackendHandler {
   return (incoming, response) => {
     response.writeHead(200, {
       'request-id': String(incoming.headers['request-id']),
@@ -26,7 +26,7 @@
   };
 }
 
-function send(id: string): Promise<ReceivedAnswer> {
+function send(id: string): Promise<ReceivedResponse> {
   return sendRequest(fixture.port, id);
 }
 
@@ -58,12 +58,12 @@
 it('tells a caller when to come back where every server has had what it takes', async () => {
   // Guards against callers that are held until their deadline, or sent there all the same.
   fixture = await startFixture({
-    servers: { one: answerLimited(0, false), two: refuseAll },
+    servers: { one: answerLimited(0, false), two: refuseRequest },
     route: { kind: RequestKind.AtMostOnce },
   });
   const statuses: number[] = [];
   for (let index = 0; index < 6; index += 1) {
-    const { status, retryAfter } = await send(`id-${index}`);
+    const { status, retryAfterSeconds: retryAfter } = await send(`id-${index}`);
     statuses.push(status);
     if (status === 503) expect(retryAfter).toBeGreaterThan(0);
   }
--- a/packages/forwarding/src/request-end.test.ts
+++ b/packages/forwarding/src/request-end.test.ts
@@ -4,13 +4,13 @@
 import { afterEach, expect, it, vi } from 'vitest';
 
 import {
-  answerWith,
-  loseAnswer,
-  refuseAll,
+  respondWith,
+  dropConnection,
+  refuseRequest,
   startFixture,
   streamEvents,
 } from './forwarding-fixture.js';
-import type { Fixture, FixtureOptions, Script } from './forwarding-fixture.js';
+import type { BackendHandler, Fixture, FixtureOptions } from './forwarding-fixture.js';
 import { RequestEndKind } from './request-end.js';
 
 let fixture: Fixture;
@@ -18,7 +18,7 @@
 afterEach(() => fixture.close());
 
 /** Sends one request; its caller leaves as soon as a server has it, where asked to. */
-async function send(isLeaving: boolean): Promise<void> {
+async function send(isDisconnecting: boolean): Promise<void> {
   const headers = { 'request-id': 'id' };
   const options = { host: '127.0.0.1', port: fixture.port, method: 'POST', headers };
   const outgoing = request(options, (incoming) => {
@@ -27,32 +27,33 @@
   });
   outgoing.on('error', () => undefined);
   outgoing.end('body');
-  if (!isLeaving) return;
+  if (!isDisconnecting) return;
   await vi.waitFor(() => expect(fixture.arrivals).toHaveLength(1), WAIT);
   outgoing.destroy();
 }
 
 const WAIT = { timeout: 60_000, interval: 5 };
-const ENDS: readonly string[] = Object.values(RequestEndKind);
+const END_KINDS: readonly string[] = Object.values(RequestEndKind);
 
 /** The lines that end the request. */
-async function endsOf(options: FixtureOptions, isLeaving = false) {
+async function collectEnds(options: FixtureOptions, isDisconnecting = false) {
   fixture = await startFixture(options);
-  const ends = () => fixture.logger.decisionsAbout('id').filter(({ kind }) => ENDS.includes(kind));
-  await send(isLeaving);
+  const ends = () =>
+    fixture.logger.decisionsAbout('id').filter(({ kind }) => END_KINDS.includes(kind));
+  await send(isDisconnecting);
   await vi.waitFor(() => expect(ends()).not.toHaveLength(0), WAIT);
   return ends();
 }
 
 /** Hopes that are met on the slowest machine. */
-const PATIENT = { objectiveMilliseconds: 60_000, gapMilliseconds: 60_000 };
-const STREAM = { kind: RequestKind.Streaming, resumable: true, ...PATIENT };
+const UNBOUNDED_OBJECTIVES = { objectiveMilliseconds: 60_000, gapMilliseconds: 60_000 };
+const STREAM = { kind: RequestKind.Streaming, resumable: true, ...UNBOUNDED_OBJECTIVES };
 
 /** Takes the request and never answers. */
-const stayAway: Script = () => undefined;
+const neverRespond: BackendHandler = () => undefined;
 
 it('tells of a stream that came whole whether it was in time, and for whom', async () => {
-  const ends = await endsOf({ servers: { one: streamEvents(3) }, route: STREAM });
+  const ends = await collectEnds({ servers: { one: streamEvents(3) }, route: STREAM });
   expect(ends).toMatchObject([
     {
       kind: RequestEndKind.Response,
@@ -69,20 +70,20 @@
 });
 
 it('tells of an answer that was late', async () => {
-  const late: Script = (incoming, response) => {
-    setTimeout(() => answerWith('booked')(incoming, response), 60);
+  const late: BackendHandler = (incoming, response) => {
+    setTimeout(() => respondWith('booked')(incoming, response), 60);
   };
   const route = { objectiveMilliseconds: 20 };
-  const ends = await endsOf({ servers: { one: late }, route });
+  const ends = await collectEnds({ servers: { one: late }, route });
   expect(ends).toMatchObject([{ kind: RequestEndKind.Response, facts: { isOnTime: false } }]);
 });
 
 it('tells once of a request that was refused, and of one that failed', async () => {
-  expect(await endsOf({ servers: { one: refuseAll } })).toMatchObject([
+  expect(await collectEnds({ servers: { one: refuseRequest } })).toMatchObject([
     { kind: RequestEndKind.Refusal },
   ]);
   await fixture.close();
-  expect(await endsOf({ servers: { one: loseAnswer } })).toMatchObject([
+  expect(await collectEnds({ servers: { one: dropConnection } })).toMatchObject([
     { kind: RequestEndKind.Failure },
   ]);
 });
@@ -90,7 +91,7 @@
 it('tells of a caller that left, and of nothing else', async () => {
   // Callers give up before their deadline. Without a line of its own such a request looks as if its
   // process had died.
-  const ends = await endsOf({ servers: { one: stayAway } }, true);
+  const ends = await collectEnds({ servers: { one: neverRespond } }, true);
   expect(ends).toMatchObject([
     {
       kind: RequestEndKind.CallerDisconnected,
--- a/packages/forwarding/src/shedding-server.test.ts
+++ b/packages/forwarding/src/shedding-server.test.ts
@@ -5,14 +5,14 @@
 import { afterEach, expect, it } from 'vitest';
 
 import { sendRequest } from './caller-fixture.js';
-import { answerWith, slowly, startFixture, streamEvents } from './forwarding-fixture.js';
-import type { Fixture, Script } from './forwarding-fixture.js';
+import { respondWith, withDelay, startFixture, streamEvents } from './forwarding-fixture.js';
+import type { BackendHandler, Fixture } from './forwarding-fixture.js';
 
 let fixture: Fixture;
 
 afterEach(() => fixture.close());
 
-const shed: Script = (incoming, response) => {
+const shed: BackendHandler = (incoming, response) => {
   response.writeHead(503, {
     'request-id': String(incoming.headers['request-id']),
     'not-run': '1',
@@ -28,9 +28,9 @@
   ['idempotent requests', RequestKind.Idempotent],
 ])('sends most %s to servers that do not refuse them', async (_, kind) => {
   // Guards against retry budgets spent on a server that sheds all load.
-  const serve = kind === RequestKind.Streaming ? streamEvents(2) : answerWith('answer');
+  const serve = kind === RequestKind.Streaming ? streamEvents(2) : respondWith('answer');
   fixture = await startFixture({
-    servers: { other: slowly(serve), shedding: shed },
+    servers: { other: withDelay(serve), shedding: shed },
     route: { kind },
   });
   for (let index = 0; index < 10; index += 1)
--- a/packages/forwarding/src/silent-server.test.ts
+++ b/packages/forwarding/src/silent-server.test.ts
@@ -8,7 +8,7 @@
 import { afterEach, beforeEach, expect, it } from 'vitest';
 
 import { startFixture, streamEvents } from './forwarding-fixture.js';
-import type { Fixture, Script } from './forwarding-fixture.js';
+import type { BackendHandler, Fixture } from './forwarding-fixture.js';
 import { callerPatience } from './plan-wait.js';
 import { STREAM_ROUTE } from './stream-route-fixture.js';
 
@@ -22,7 +22,7 @@
 const ALL_EVENTS = [1, 2, 3, 4, 5, 6].map((id) => `id: ${id}\ndata: ${id}\n\n`).join('');
 
 /** Makes some events and then nothing more. */
-function fallSilentAfter(count: number): Script {
+function fallSilentAfter(count: number): BackendHandler {
   return (incoming, response) => {
     if (count === 0) return;
     response.writeHead(200, {
@@ -34,7 +34,7 @@
   };
 }
 
-async function start(one: Script, two: Script): Promise<void> {
+async function start(one: BackendHandler, two: BackendHandler): Promise<void> {
   fixture = await startFixture({
     servers: { one, two, three: streamEvents(EVENTS) },
     groups: Object.fromEntries(
@@ -122,7 +122,7 @@
 
 it('leaves a stream that has begun to a server that reports, as long as its caller stays', async () => {
   // Guards against answers that an entry breaks off although their server is there.
-  const pausing: Script = (incoming, response) => {
+  const pausing: BackendHandler = (incoming, response) => {
     fallSilentAfter(3)(incoming, response);
     setTimeout(() => response.end('id: 4\ndata: 4\n\n'), callerPatience(STREAM_ROUTE) + 100);
   };
--- a/packages/forwarding/src/stalled-process.test.ts
+++ b/packages/forwarding/src/stalled-process.test.ts
@@ -2,7 +2,7 @@
 import { afterEach, expect, it } from 'vitest';
 
 import { sendRequest } from './caller-fixture.js';
-import { answerWith, startFixture } from './forwarding-fixture.js';
+import { respondWith, startFixture } from './forwarding-fixture.js';
 import type { Fixture } from './forwarding-fixture.js';
 
 /** Longer than a connection may take. */
@@ -20,7 +20,7 @@
 it('uses a connection that was made while the process stood still', async () => {
   // Guards against callers that are refused, with servers free, whenever an entry stalls.
   fixture = await startFixture({
-    servers: { one: answerWith('whole') },
+    servers: { one: respondWith('whole') },
     route: { kind: RequestKind.Idempotent, objectiveMilliseconds: 60_000 },
   });
   const { logger } = fixture;
