--- a/packages/forwarding/src/accept-request.test.ts
+++ b/packages/forwarding/src/accept-request.test.ts
@@ -55,9 +55,10 @@
   });
 }
 
-describe('accepting a request', () => {
-  it('takes the longest prefix, and ends at its timeout or before its caller leaves', () => {
-    // Guards against an answer that is sent when its caller has left, and against work for nobody.
+describe('decideAdmission', () => {
+  it('matches the longest prefix and ends at the route timeout or before that of the caller', () => {
+    // Guards against a response that is sent after the caller has disconnected, and against
+    // backend work for a request that nobody waits for.
     expect(admit({})).toMatchObject({
       kind: AdmissionKind.Accepted,
       service: 'long',
@@ -67,7 +68,7 @@
     expect(admit({ callerTimeoutMilliseconds: 9000 })).toMatchObject({ timeoutMilliseconds: 800 });
   });
 
-  it('says what is wrong with a request', () => {
+  it('states why a request is rejected', () => {
     expect(admit({ target: '/z/' })).toMatchObject({ reason: RejectionReason.RouteNotFound });
     expect(admit({ key: 'other' })).toMatchObject({ reason: RejectionReason.UnknownKey });
     expect(admit({ requestId: undefined })).toMatchObject({
@@ -75,9 +76,9 @@
     });
   });
 
-  it('denies nothing on knowledge that may be outdated', () => {
-    // The store turns this instance away while operators add a key. Told 401, the customer would
-    // not ask again, although every other instance lets it in.
+  it('rejects nothing based on a configuration that may be outdated', () => {
+    // The store rejects this instance while operators add a key. A 401 would stop the customer
+    // from retrying, although every other instance accepts the key.
     expect(admit({ key: 'other' }, true)).toEqual({ kind: AdmissionKind.Undecided });
     expect(admit({ target: '/z/' }, true)).toEqual({ kind: AdmissionKind.Undecided });
   });
--- a/packages/forwarding/src/accept-request.ts
+++ b/packages/forwarding/src/accept-request.ts
@@ -1,6 +1,6 @@
 /**
- * Decides what becomes of a caller's request before anything is sent on: on one version of the
- * configuration, from what the request itself says. Pure.
+ * Decides whether a caller's request is admitted, before anything is forwarded. Uses one version
+ * of the configuration and what the request itself states. Pure.
  */
 import { AccessKind, checkAccess, findRoute, pickService } from '@lapisbridge/catalog';
 import type { ClientAccount, Configuration, Route } from '@lapisbridge/catalog';
@@ -10,9 +10,9 @@
 
 export enum AdmissionKind {
   Accepted = 'accepted',
-  /** The request itself is wrong; asking again changes nothing. */
+  /** The request itself is invalid; a retry cannot succeed. */
   Rejected = 'improper',
-  /** Nothing is known that could decide it. */
+  /** The configuration is missing or may be outdated, so the request cannot be judged. */
   Undecided = 'notKnown',
 }
 
@@ -36,14 +36,14 @@
 
 export interface AdmissionInput {
   readonly configuration: Configuration | undefined;
-  /** Whether the configuration may be outdated, so that what it lacks may exist by now. */
+  /** Whether the configuration may be outdated: routes or keys it lacks may exist by now. */
   readonly isOutdated: boolean;
   readonly request: CallerRequest;
-  /** Uniform in [0, 1); picks among the services of a split route. */
+  /** Uniform in [0, 1); selects a service when the route splits its traffic. */
   readonly randomValue: number;
 }
 
-/** Milliseconds after which the caller is answered in any case. */
+/** Milliseconds after which the caller gets a response in any case. */
 function computeTimeout(route: Route, callerTimeoutMilliseconds: number | undefined): number {
   if (callerTimeoutMilliseconds === undefined) return route.timeoutMilliseconds;
   const latest = callerTimeoutMilliseconds - computeReplyMargin(callerTimeoutMilliseconds);
--- a/packages/forwarding/src/caller-listener.ts
+++ b/packages/forwarding/src/caller-listener.ts
@@ -1,6 +1,6 @@
 /**
- * Takes callers' connections, reads their requests whole, and hands them to the forwarding
- * core. A request that fails in an unforeseen way ends alone; the process goes on.
+ * HTTP server for callers. Reads each request completely and passes it to the forwarding core. An
+ * unexpected error ends only the request in which it occurs; the process goes on.
  */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -21,9 +21,12 @@
 
 export interface CallerListener {
   start(): Promise<void>;
-  /** Answers what is in progress, takes nothing that is new in the end; resolves when done. */
+  /**
+   * Accepts connections for `shutdownDelayMilliseconds` more, then completes the requests in
+   * flight; resolves when all connections are closed.
+   */
   stop(): Promise<void>;
-  /** Requests in progress. */
+  /** Number of requests in flight. */
   inFlightCount(): number;
 }
 
@@ -33,7 +36,7 @@
   readonly context: ForwardContext;
   /** Whether the configuration may be outdated. */
   isOutdated(): boolean;
-  /** How long new connections are still taken after a stop was asked for. */
+  /** How long new connections are still accepted after `stop` was called. */
   readonly shutdownDelayMilliseconds: number;
 }
 
@@ -49,21 +52,24 @@
   [RejectionReason.UnknownKey]: UNAUTHORIZED,
 };
 
-/** Used until a configuration says otherwise. */
+/** Limits that apply until a configuration is loaded. */
 const DEFAULT_MAXIMUM_BODY_BYTES = 4 * 1024 * 1024;
 const DEFAULT_HEADER_TIMEOUT_MILLISECONDS = 3000;
 const DEFAULT_IDLE_TIMEOUT_MILLISECONDS = 15_000;
-/** Callers use four fifths of the idle time; closing later than that never meets a request. */
+/**
+ * Callers reuse a connection that was idle for up to four fifths of the idle timeout. Closing it
+ * later than that timeout never races with a new request.
+ */
 const IDLE_TIMEOUT_FACTOR = 1.2;
 const MAXIMUM_HEADER_BYTES = 64 * 1024;
-/** Time for a whole body; the caller's deadline comes sooner. */
+/** Time limit for receiving a whole request; the caller's deadline ends sooner. */
 const REQUEST_TIMEOUT_MILLISECONDS = 30_000;
 const TIMEOUT_CHECK_INTERVAL_MILLISECONDS = 1000;
 const IDLE_CLOSE_INTERVAL_MILLISECONDS = 100;
-/** Time for a caller without a deadline. */
+/** Timeout assumed for a caller that states no deadline. */
 const DEFAULT_CALLER_TIMEOUT_MILLISECONDS = 10_000;
 
-/** Reads the body; undefined when it is larger than allowed. */
+/** Reads the body; undefined when it exceeds the limit. Rejects when the caller disconnects. */
 function readBody(incoming: IncomingMessage, maximumBytes: number): Promise<Buffer | undefined> {
   return new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
@@ -75,7 +81,9 @@
     });
     incoming.on('end', () => resolve(chunks.length === 1 ? chunks[0] : Buffer.concat(chunks)));
     incoming.on('error', reject);
-    incoming.on('close', () => reject(new Error('the caller left within its request')));
+    incoming.on('close', () =>
+      reject(new Error('the caller disconnected before its request was complete')),
+    );
   });
 }
 
@@ -116,7 +124,7 @@
     logRequestEnd(context, accepted, {
       kind: RequestEndKind.CallerDisconnected,
       choice: 'caller',
-      reason: 'the caller left',
+      reason: 'the caller disconnected',
       facts: { hasBegun: accepted.response.hasBegun },
     });
   }
@@ -131,10 +139,15 @@
     if (callerResponse.isEnded) return;
     if (body === undefined) {
       response.shouldKeepAlive = false;
-      sendLocalReply(callerResponse, request, CONTENT_TOO_LARGE, `body over ${maximumBody} bytes`);
+      sendLocalReply(
+        callerResponse,
+        request,
+        CONTENT_TOO_LARGE,
+        `body exceeds ${maximumBody} bytes`,
+      );
       return;
     }
-    // A newer one may have come into force while the body was read.
+    // A newer configuration may have been loaded while the body was read.
     const { configuration } = context.catalog.operators();
     const admission = decideAdmission({
       configuration,
@@ -148,7 +161,7 @@
           callerResponse,
           request,
           SERVICE_UNAVAILABLE,
-          'configuration not known or outdated',
+          'configuration missing or possibly outdated',
         );
         return;
       case AdmissionKind.Rejected:
@@ -230,7 +243,8 @@
     },
     async stop() {
       stopping = true;
-      // The balancer notices only after some of its checks; until then it sends connections.
+      // The load balancer notices the shutdown only after some of its health checks and sends new
+      // connections until then.
       await new Promise((resolve) => {
         setTimeout(resolve, options.shutdownDelayMilliseconds);
       });
--- a/packages/forwarding/src/caller-protocol.ts
+++ b/packages/forwarding/src/caller-protocol.ts
@@ -1,7 +1,7 @@
 /**
- * What the forwarding core asks of an adapter: to read a caller's request, to name the headers
- * that go to a backend server, and to read what a backend server says of itself. Names on the
- * wire stay behind this port.
+ * Port between the forwarding core and a protocol adapter, which decodes callers' requests, builds
+ * the headers sent to a backend server, and decodes the heads of backend servers' responses. Wire
+ * names stay in the adapter.
  */
 import type { IncomingMessage } from 'node:http';
 
@@ -9,7 +9,7 @@
 
 /** A caller's request without its body. Headers are raw pairs: name, value, name, value. */
 export interface CallerRequest {
-  /** Id of this attempt of the caller; undefined when it sent none. */
+  /** Id of this attempt by the caller; undefined when it sent none. */
   readonly requestId: string | undefined;
   readonly method: string;
   /** Host without a port, in lower case. */
@@ -17,9 +17,9 @@
   /** Path and query as sent. */
   readonly target: string;
   readonly key: string | undefined;
-  /** How long the caller will wait, from the arrival of the request. */
+  /** How long the caller waits, from the arrival of the request; undefined when unstated. */
   readonly callerTimeoutMilliseconds: number | undefined;
-  /** Last event the caller already has of a stream that it goes on with. */
+  /** Id of the last event that the caller received of the stream it resumes. */
   readonly lastEventId: number | undefined;
   readonly promptTokens: number;
   readonly headers: readonly string[];
@@ -29,14 +29,14 @@
   readonly request: CallerRequest;
   readonly server: BackendServer;
   readonly account: ClientAccount | undefined;
-  /** 0 is served first. */
+  /** 0 is the most urgent. */
   readonly priority: number;
   readonly remainingMilliseconds: number;
   readonly lastEventId: number | undefined;
   readonly bodyBytes: number;
 }
 
-/** What a backend server tells of its load with an answer. */
+/** Load that a backend server reports with a response. */
 export interface ReportedLoad {
   readonly running: number;
   readonly waiting: number;
@@ -46,11 +46,11 @@
   /** The server states no limit. */
   None = 'none',
   Stated = 'stated',
-  /** It states something that is no number: what is known of its limit stands. */
+  /** The stated value is not a number; the limit known so far stays in force. */
   Malformed = 'unreadable',
 }
 
-/** What a backend server states of the requests that it takes from all entries together. */
+/** Rate limit that a backend server states for the requests of all entries together. */
 export type StatedRateLimit =
   | { readonly kind: RateLimitKind.None }
   | { readonly kind: RateLimitKind.Stated; readonly requestsPerSecond: number }
@@ -60,11 +60,11 @@
   /** The server states nothing. */
   None = 'none',
   Stated = 'stated',
-  /** It states something that is no number of seconds. */
+  /** The stated value is not a number of seconds. */
   Malformed = 'unreadable',
 }
 
-/** For how long a backend server wants no further request from this entry. */
+/** How long a backend server asks this entry to send it no further requests. */
 export type StatedRetryAfter =
   | { readonly kind: RetryAfterKind.None }
   | { readonly kind: RetryAfterKind.Stated; readonly milliseconds: number }
@@ -73,18 +73,18 @@
 export interface ResponseHead {
   readonly status: number;
   readonly requestId: string | undefined;
-  /** The backend server vouches for the answer. */
+  /** The response carries the signature of the backend server. */
   readonly isSigned: boolean;
   /** The backend server states that it did not run the request. */
   readonly notRun: boolean;
-  /** Another backend server has the address now. */
+  /** The address now belongs to another backend server. */
   readonly isMisdirected: boolean;
-  /** With a refusal: address (`host:port`) of the server at fault, itself or one it depends on. */
+  /** With a refusal: address (`host:port`) of the failed server, itself or one it depends on. */
   readonly faultyAddress: string | undefined;
   readonly load: ReportedLoad | undefined;
   readonly rateLimit: StatedRateLimit;
   readonly retryAfter: StatedRetryAfter;
-  /** The backend server takes no new work, and will end. */
+  /** The backend server accepts no new requests and will shut down. */
   readonly isLeaving: boolean;
   /** End-to-end headers as raw pairs. */
   readonly headers: readonly string[];
@@ -92,10 +92,10 @@
 
 export interface CallerProtocol {
   decodeRequest(incoming: IncomingMessage): CallerRequest;
-  /** Raw header pairs for a backend server. */
+  /** Headers of a request to a backend server, as raw pairs. */
   encodeForwardHeaders(input: ForwardHeadersInput): string[];
   decodeResponseHead(incoming: IncomingMessage): ResponseHead;
-  /** Headers of an answer of our own. */
+  /** Headers of a response that this entry generates itself, as raw pairs. */
   encodeLocalReplyHeaders(
     requestId: string | undefined,
     retryAfterMilliseconds: number | undefined,
--- a/packages/forwarding/src/caller-response.ts
+++ b/packages/forwarding/src/caller-response.ts
@@ -1,26 +1,26 @@
 /**
- * The answer to one caller. It begins once and ends once, as a whole answer or visibly broken
- * off: an answer that was cut short must never look complete.
+ * The HTTP response to one caller. It starts once and ends once, either complete or visibly
+ * aborted: a truncated response must never look complete.
  */
 import type { ServerResponse } from 'node:http';
 
 export interface CallerResponse {
-  /** A whole answer at once. */
+  /** Sends a complete response. */
   send(status: number, headers: readonly string[], body: Buffer): void;
   begin(status: number, headers: readonly string[]): void;
-  /** False when the caller reads too slowly; `onDrain` tells when to go on. */
+  /** Returns false when the caller reads too slowly; `onDrain` tells when to continue. */
   write(bytes: Buffer): boolean;
   onDrain(listener: () => void): void;
   finish(): void;
-  /** Ends the connection without ending the answer. */
+  /** Closes the connection without completing the response. */
   abort(): void;
   readonly hasBegun: boolean;
   readonly isEnded: boolean;
-  /** Calls back once when the caller closes its connection before the answer is complete. */
+  /** Calls back once when the caller closes its connection before the response is complete. */
   onDisconnect(listener: () => void): void;
-  /** Whether the caller closed its connection before the answer was complete. */
+  /** Whether the caller closed its connection before the response was complete. */
   readonly hasDisconnected: boolean;
-  /** Status that was sent; 0 before. */
+  /** Status code that was sent; 0 before. */
   readonly status: number;
 }
 
--- a/packages/forwarding/src/forward-context.ts
+++ b/packages/forwarding/src/forward-context.ts
@@ -1,5 +1,5 @@
 /**
- * What serving one request needs: the services it uses and the request as it was accepted.
+ * Services that forwarding uses, and the state of one request.
  */
 import type { Catalog, ClientAccount, Configuration, Route } from '@lapisbridge/catalog';
 import type { Logger } from '@lapisbridge/logger';
@@ -31,13 +31,13 @@
   readonly metrics: Metrics;
   readonly arrivals: ArrivalMeter;
   readonly ownZone: string;
-  /** Entries that send to the same servers, this one included. */
+  /** Number of entries that send to the same servers, including this one. */
   entries(): number;
   now(): number;
   random(): number;
 }
 
-/** A request that was found to be proper, decided on one version of the configuration. */
+/** A request that was admitted, with the configuration version that admitted it. */
 export interface AcceptedRequest {
   readonly request: CallerRequest;
   readonly requestId: string;
@@ -47,20 +47,23 @@
   readonly account: ClientAccount | undefined;
   readonly body: Buffer;
   readonly arrivedAt: number;
-  /** The route's timeout or the end of the caller's patience, whichever comes first. */
+  /**
+   * Latest time of a response, on the clock of `now`: at the route's timeout or shortly before the
+   * caller's own, whichever comes first.
+   */
   readonly expiresAt: number;
   readonly response: CallerResponse;
-  /** The caller was refused before, and does not come back another time. */
+  /** The caller was refused before and will not retry again. */
   readonly isRetry: boolean;
-  /** Of the client account, or else of the route; 0 is served first. */
+  /** Priority of the client account, or else of the route; 0 is the most urgent. */
   readonly priority: number;
 }
 
-/** What has been tried so far. */
+/** The attempts made at one request so far. */
 export interface RequestProgress {
   readonly tried: Set<string>;
   readonly outcomes: Outcome[];
-  /** Attempts that reached a backend server and were not refused by it. */
+  /** Attempts that are in progress or may have run, without proof that they did not run. */
   runs: number;
   sends: number;
 }
--- a/packages/forwarding/src/index.ts
+++ b/packages/forwarding/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Serves callers' requests on backend servers that are called directly.
+ * Forwards callers' requests directly to backend servers.
  */
 export { createArrivalMeter } from './arrival-meter.js';
 export type { ArrivalMeter } from './arrival-meter.js';
--- a/packages/forwarding/src/reply-margin.ts
+++ b/packages/forwarding/src/reply-margin.ts
@@ -1,13 +1,14 @@
 /**
- * How long before a caller leaves it has to be answered. A request that is given up only when its
- * caller's time is over is never answered: the caller closes the connection first, and a backend
- * server that cannot be reached just then works on for nobody. Pure.
+ * Computes how long before the caller's timeout a response of this entry's own has to be sent. A
+ * request that is only given up at the caller's timeout never gets a response: the caller closes
+ * the connection first, and a backend server that is unreachable at that moment goes on with a
+ * request that nobody waits for. Pure.
  */
 
 const MAXIMUM_MARGIN_MILLISECONDS = 50;
 const MARGIN_RATIO = 0.1;
 
-/** Milliseconds before the end of the caller's patience at which an answer of our own is sent. */
+/** Milliseconds before the caller's timeout at which a response of this entry's own is sent. */
 export function computeReplyMargin(callerTimeoutMilliseconds: number): number {
   return Math.min(MAXIMUM_MARGIN_MILLISECONDS, callerTimeoutMilliseconds * MARGIN_RATIO);
 }
