--- a/packages/forwarding/src/exchange.ts
+++ b/packages/forwarding/src/exchange.ts
@@ -1,21 +1,22 @@
 /**
- * One HTTP exchange with a backend server, on a connection of its own. A kept connection may
- * carry bytes of an earlier exchange, or may have been lost silently; nobody could then tell
- * whether the request was taken. A fresh one costs a round trip and rules both out. As long as
- * it is not established no byte has left, so a failure until then proves that nothing ran.
+ * One HTTP exchange with a backend server, on a new connection. A reused connection may still
+ * carry bytes of an earlier exchange, or may have been lost without notice; it would then be
+ * unknown whether the request was received. A new connection costs one round trip and rules out
+ * both. Until it is established no byte has been sent, so a failure up to then proves that the
+ * request did not run.
  */
 import { request as httpRequest } from 'node:http';
 import type { ClientRequest, IncomingMessage } from 'node:http';
 import type { Socket } from 'node:net';
 
 export enum ExchangeEndKind {
-  /** The whole answer arrived, delimited as HTTP demands. */
+  /** The complete response arrived, delimited as HTTP requires. */
   Complete = 'complete',
   /** The request never left this process. */
   NotSent = 'notSent',
-  /** The request may have run; the answer is missing or broken off. */
+  /** The request may have run; the response is missing or truncated. */
   Incomplete = 'broken',
-  /** This process gave the exchange up. */
+  /** This process cancelled the exchange. */
   Cancelled = 'cancelled',
 }
 
@@ -25,7 +26,7 @@
 }
 
 export interface ExchangeListener {
-  /** Head of the answer. */
+  /** Called with the head of the response. */
   onHead(incoming: IncomingMessage): void;
   onData(chunk: Buffer): void;
   /** Called once, last. */
@@ -49,10 +50,13 @@
   resume(): void;
 }
 
-/** First probe of an idle connection; a peer without power never answers on its own. */
+/**
+ * Idle time before the first TCP keep-alive probe. A peer that lost power never closes its
+ * connections.
+ */
 const TCP_KEEP_ALIVE_MILLISECONDS = 1000;
 
-/** An answer with neither a length nor chunks ends with its connection. */
+/** Whether only the end of its connection delimits the response: it has no length and no chunks. */
 function isCloseDelimited({ headers }: IncomingMessage): boolean {
   return headers['content-length'] === undefined && headers['transfer-encoding'] === undefined;
 }
@@ -78,25 +82,26 @@
   }
 
   /**
-   * Whether an answer that ends with its connection ended by a close or by a reset. A reset
-   * that arrives together with the last bytes reads like a close, and half an answer would pass
-   * for the whole; only a write then still fails with it. An empty line does no harm: servers
-   * skip it, and this one has closed its side.
+   * Determines whether a close-delimited response ended by a close or by a reset. A reset that
+   * arrives together with the last bytes reads like a close, so that half a response would count
+   * as complete; only a later write still fails because of it. The empty line written here does no
+   * harm: servers skip it, and this one has closed its side.
    */
   function checkForReset(socket: Socket): void {
     if (response === undefined || !isCloseDelimited(response)) return;
     isCheckingReset = true;
     socket.write('\r\n', (error) => {
-      if (error === null || error === undefined) end(ExchangeEndKind.Complete, 'whole answer');
-      else fail(`reset at the end: ${error.message}`);
+      if (error === null || error === undefined) end(ExchangeEndKind.Complete, 'complete response');
+      else fail(`connection reset at the end of the response: ${error.message}`);
     });
   }
 
   function onSocket(socket: Socket): void {
     socket.setNoDelay(true);
     socket.setKeepAlive(true, TCP_KEEP_ALIVE_MILLISECONDS);
-    // Node.js ends an answer without a length as complete when its connection is reset, before
-    // it tells of the error; half an answer would pass for the whole. So this listener is first.
+    // When a connection is reset, Node.js ends a response without a length as complete before it
+    // emits the error, so that half a response would count as complete. This listener therefore
+    // runs first.
     socket.prependListener('error', (error) => fail(error.message));
     socket.prependListener('end', () => checkForReset(socket));
     socket.once('connect', () => {
@@ -112,12 +117,12 @@
       if (!ended) listener.onData(chunk);
     });
     incoming.on('end', () => {
-      if (!incoming.complete) fail('answer broken off');
-      else if (!isCheckingReset) end(ExchangeEndKind.Complete, 'whole answer');
+      if (!incoming.complete) fail('response truncated');
+      else if (!isCheckingReset) end(ExchangeEndKind.Complete, 'complete response');
     });
     incoming.on('error', (error) => fail(error.message));
     incoming.on('close', () => {
-      if (!isCheckingReset) fail('connection closed within the answer');
+      if (!isCheckingReset) fail('connection closed before the end of the response');
     });
     listener.onHead(incoming);
   }
@@ -137,16 +142,17 @@
     return { cancel: () => undefined, pause: () => undefined, resume: () => undefined };
   }
   connectTimer = setTimeout(() => {
-    // After a stall timers run first; the connection may have been made meanwhile.
+    // After a stall of the event loop, timers run before I/O callbacks; the connection may have
+    // been established meanwhile.
     setImmediate(() => {
-      if (!connected) fail('no connection in time');
+      if (!connected) fail('connection timed out');
     });
   }, options.connectTimeoutMilliseconds);
   request.on('socket', onSocket);
   request.on('response', onResponse);
   request.on('error', (error) => fail(error.message));
   request.on('close', () => {
-    if (!isCheckingReset) fail('connection closed without an answer');
+    if (!isCheckingReset) fail('connection closed without a response');
   });
   request.end(options.body);
   return {
--- a/packages/forwarding/src/local-reply.ts
+++ b/packages/forwarding/src/local-reply.ts
@@ -1,5 +1,6 @@
 /**
- * Answers of this entry's own. Statuses that promise "not run" take the proof of it.
+ * Responses that this entry generates itself. Statuses that promise "not run" require the proof of
+ * it.
  */
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
 import { logRequestEnd, RequestEndKind } from './request-end.js';
@@ -26,8 +27,8 @@
 }
 
 /**
- * Refuses a request that has not run, and says when it is likely to be served: within
- * `likelyMilliseconds`, or else as usual for the cause.
+ * Refuses a request that has not run, and states when to retry: after `expectedWaitMilliseconds`,
+ * or else after the usual time for the cause.
  */
 export function refuseRequest(
   context: ForwardContext,
@@ -52,7 +53,7 @@
   sendLocalReply(context, accepted, SERVICE_UNAVAILABLE, retryAfter);
 }
 
-/** Fails a request that may have run. */
+/** Fails a request that may have run; aborts a response that has begun. */
 export function failRequest(
   context: ForwardContext,
   accepted: AcceptedRequest,
--- a/packages/forwarding/src/open-forward.ts
+++ b/packages/forwarding/src/open-forward.ts
@@ -1,5 +1,5 @@
 /**
- * Opens the exchange that carries one attempt at a request to a backend server.
+ * Opens the HTTP exchange of one attempt at a backend server.
  */
 import type { BackendServer } from '@lapisbridge/catalog';
 
@@ -9,16 +9,16 @@
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
 import { planPriority, urgencyOf } from './plan-priority.js';
 
-/** Time for a connection within a region: some round trips of a few milliseconds. */
+/** Timeout for connecting within a region: some round trips of a few milliseconds. */
 const CONNECT_TIMEOUT_MILLISECONDS = 300;
 
 export interface ForwardAttempt {
   readonly context: ForwardContext;
   readonly accepted: AcceptedRequest;
   readonly server: BackendServer;
-  /** Event of a stream behind which the server is to go on. */
+  /** Id of the event after which the server is to resume a stream. */
   readonly lastEventId: number | undefined;
-  /** Whether the request was taken from a server that gave no sign of life. */
+  /** Whether the request was moved from a server that stopped responding. */
   readonly isMoved: boolean;
 }
 
--- a/packages/forwarding/src/outcome.ts
+++ b/packages/forwarding/src/outcome.ts
@@ -1,8 +1,8 @@
 /**
- * How one attempt on a backend server ended. `NotRun` is made only from proof: the request
- * never left, or the server itself says that it did not run it. Everything else that is not an
- * answer is `Unknown`. A refusal that promises "not run" takes a `NotRunProof`, which cannot be
- * had from an unknown outcome.
+ * How one attempt at a backend server ended. `NotRun` is created only with proof: the request was
+ * never sent, or the server itself states that it did not run it. Every other end without a
+ * response is `Unknown`. A refusal that promises "not run" takes a `NotRunProof`, which cannot be
+ * obtained from an unknown outcome.
  */
 import type { ResponseHead } from './caller-protocol.js';
 
@@ -15,7 +15,7 @@
 export interface NotRun {
   readonly kind: OutcomeKind.NotRun;
   readonly reason: string;
-  /** The server was reached and refused, rather than being out of reach. */
+  /** The server was reached and refused the request; false when it could not be reached. */
   readonly wasRefused: boolean;
 }
 
@@ -44,7 +44,7 @@
   readonly reason: string;
 }
 
-/** Proves "not run" over all attempts at a request; undefined as soon as one is unknown. */
+/** Proves that no attempt at a request ran; undefined when any of them may have run. */
 export function proveNotRun(outcomes: readonly Outcome[], reason: string): NotRunProof | undefined {
   for (const outcome of outcomes) {
     if (outcome.kind !== OutcomeKind.NotRun) return undefined;
--- a/packages/forwarding/src/plain-attempt.ts
+++ b/packages/forwarding/src/plain-attempt.ts
@@ -10,7 +10,7 @@
 import type { Exchange, ExchangeEnd } from './exchange.js';
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
 import { openForwardExchange } from './open-forward.js';
-import { lateThresholdMilliseconds } from './late-threshold.js';
+import { lateThresholdMilliseconds } from './late-answer.js';
 import { OutcomeKind } from './outcome.js';
 import type { Outcome } from './outcome.js';
 import { judgeRefusal, Verdict } from './server-ledger.js';
--- a/packages/forwarding/src/request-end.test.ts
+++ b/packages/forwarding/src/request-end.test.ts
@@ -17,7 +17,9 @@
 
 afterEach(() => fixture.close());
 
-/** Sends one request; its caller leaves as soon as a server has it, where asked to. */
+/**
+ * Sends one request. With `isDisconnecting` the caller disconnects once a server has received it.
+ */
 async function send(isDisconnecting: boolean): Promise<void> {
   const headers = { 'request-id': 'id' };
   const options = { host: '127.0.0.1', port: fixture.port, method: 'POST', headers };
@@ -35,7 +37,7 @@
 const WAIT = { timeout: 60_000, interval: 5 };
 const END_KINDS: readonly string[] = Object.values(RequestEndKind);
 
-/** The lines that end the request. */
+/** Sends one request and returns the log lines that end it. */
 async function collectEnds(options: FixtureOptions, isDisconnecting = false) {
   fixture = await startFixture(options);
   const ends = () =>
@@ -45,14 +47,14 @@
   return ends();
 }
 
-/** Hopes that are met on the slowest machine. */
+/** Objectives that even the slowest machine meets. */
 const UNBOUNDED_OBJECTIVES = { objectiveMilliseconds: 60_000, gapMilliseconds: 60_000 };
 const STREAM = { kind: RequestKind.Streaming, resumable: true, ...UNBOUNDED_OBJECTIVES };
 
-/** Takes the request and never answers. */
+/** Accepts the request and never responds. */
 const neverRespond: BackendHandler = () => undefined;
 
-it('tells of a stream that came whole whether it was in time, and for whom', async () => {
+it('logs whether a complete stream was on time, with its route and service', async () => {
   const ends = await collectEnds({ servers: { one: streamEvents(3) }, route: STREAM });
   expect(ends).toMatchObject([
     {
@@ -69,7 +71,7 @@
   ]);
 });
 
-it('tells of an answer that was late', async () => {
+it('logs a late response as not on time', async () => {
   const late: BackendHandler = (incoming, response) => {
     setTimeout(() => respondWith('booked')(incoming, response), 60);
   };
@@ -78,7 +80,7 @@
   expect(ends).toMatchObject([{ kind: RequestEndKind.Response, facts: { isOnTime: false } }]);
 });
 
-it('tells once of a request that was refused, and of one that failed', async () => {
+it('logs a refused and a failed request once each', async () => {
   expect(await collectEnds({ servers: { one: refuseRequest } })).toMatchObject([
     { kind: RequestEndKind.Refusal },
   ]);
@@ -88,9 +90,9 @@
   ]);
 });
 
-it('tells of a caller that left, and of nothing else', async () => {
-  // Callers give up before their deadline. Without a line of its own such a request looks as if its
-  // process had died.
+it('logs only the disconnect when the caller disconnects', async () => {
+  // Callers disconnect before their deadline. Without a line of its own such a request would look
+  // as if its process had died.
   const ends = await collectEnds({ servers: { one: neverRespond } }, true);
   expect(ends).toMatchObject([
     {
--- a/packages/forwarding/src/request-end.ts
+++ b/packages/forwarding/src/request-end.ts
@@ -1,21 +1,22 @@
 /**
- * Writes down how a request ended: one line whatever the outcome, with what is needed to count it
- * without any other line, so that reports over gigabytes of logs need no memory of requests.
+ * Logs how a request ended, whatever the outcome, in one line. The line holds everything needed to
+ * count the request without any other line, so that reports over gigabytes of logs keep no state
+ * per request.
  */
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
 
-/** The value of `kind` in a line that ends a request. */
+/** Value of `kind` in the log line that ends a request. */
 export enum RequestEndKind {
   Response = 'answer',
   Refusal = 'refusal',
   Failure = 'failure',
-  /** The caller left before its answer was complete. */
+  /** The caller disconnected before its response was complete. */
   CallerDisconnected = 'gone',
 }
 
 export interface RequestEnd {
   readonly kind: RequestEndKind;
-  /** The server that answered, or the cause of another end. */
+  /** Instance id of the server that responded, or the cause of any other end. */
   readonly choice: string;
   readonly reason: string;
   readonly facts: Readonly<Record<string, string | number | boolean | undefined>>;
--- a/packages/forwarding/src/response-head.ts
+++ b/packages/forwarding/src/response-head.ts
@@ -1,5 +1,5 @@
 /**
- * What the head of a backend server's answer says: whether it can be believed, and whether it
+ * Evaluates the head of a backend server's response: whether it can be trusted, and whether it
  * proves that the request did not run.
  */
 import { RetryAfterKind } from './caller-protocol.js';
@@ -12,29 +12,29 @@
   return status >= SUCCESS_FROM && status < SUCCESS_TO;
 }
 
-/** Reasons for which the head of an answer is not believed; undefined when it is sound. */
+/** Returns why the head cannot be trusted; undefined when it is valid. */
 export function findHeadFault(head: ResponseHead, requestId: string): string | undefined {
-  if (head.requestId !== requestId) return 'answer to another request';
-  if (isSuccess(head.status) && !head.isSigned) return 'success without a signature';
+  if (head.requestId !== requestId) return 'response to another request';
+  if (isSuccess(head.status) && !head.isSigned) return 'successful response without a signature';
   return undefined;
 }
 
 function describeBackoff({ retryAfter }: ResponseHead): string {
   if (retryAfter.kind !== RetryAfterKind.Stated) return '';
-  return `, back off for ${Math.round(retryAfter.milliseconds)} ms`;
+  return `, backoff of ${Math.round(retryAfter.milliseconds)} ms`;
 }
 
 export function describeRefusal(head: ResponseHead): string {
-  if (head.isMisdirected) return 'another server has the address';
+  if (head.isMisdirected) return 'the address belongs to another server';
   return head.faultyAddress === undefined
-    ? `refused by it${describeBackoff(head)}`
-    : `refused, ${head.faultyAddress} at fault`;
+    ? `refused by the server${describeBackoff(head)}`
+    : `refused because ${head.faultyAddress} failed`;
 }
 
-/** Whether the head is that of the server that the request was sent to. */
+/** Whether the head comes from the server that the request was sent to. */
 export function isFromAddressedServer(head: ResponseHead, requestId: string): boolean {
   if (head.isMisdirected) return false;
-  // Refusals need not name the request.
+  // A refusal need not name the request.
   return provesNotRun(head) || findHeadFault(head, requestId) === undefined;
 }
 
--- a/packages/forwarding/src/serve-plain.ts
+++ b/packages/forwarding/src/serve-plain.ts
@@ -10,7 +10,7 @@
 import { chooseServer } from './choose-server.js';
 import { computeRemainingMilliseconds, createProgress } from './forward-context.js';
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
-import { lateThresholdMilliseconds } from './late-threshold.js';
+import { lateThresholdMilliseconds } from './late-answer.js';
 import { logRequestEnd, RequestEndKind } from './request-end.js';
 import { describeOutcome, OutcomeKind, proveNotRun } from './outcome.js';
 import type { Answered, Outcome } from './outcome.js';
