--- a/packages/forwarding/src/choose-server.ts
+++ b/packages/forwarding/src/choose-server.ts
@@ -1,5 +1,5 @@
 /**
- * Picks the backend server for the next attempt and writes down why.
+ * Selects the backend server for the next attempt and logs the decision.
  */
 import type { BackendServer } from '@lapisbridge/catalog';
 import { planServer, ServerChoiceKind } from '@lapisbridge/routing';
@@ -9,7 +9,10 @@
 import type { AcceptedRequest, ForwardContext, RequestProgress } from './forward-context.js';
 import { roundedOrNone } from './rounded-or-none.js';
 
-/** Reading speed of services without a model, which have no prompts. */
+/**
+ * Prompt reading speed, in tokens per millisecond, of services without a model, which have no
+ * prompts.
+ */
 const READ_SPEED_WITHOUT_MODEL = 1;
 
 function collectCandidates(
@@ -49,7 +52,7 @@
   return { views, serversById, leaving };
 }
 
-/** What the other entries may have sent since the servers reported. */
+/** Estimates the requests that other entries have sent since the servers reported their load. */
 function estimateUnseenArrivals(
   context: ForwardContext,
   service: string,
--- a/packages/forwarding/src/end-to-end-headers.ts
+++ b/packages/forwarding/src/end-to-end-headers.ts
@@ -1,9 +1,9 @@
 /**
- * Headers of a message that an intermediary passes on, as HTTP/1.1 demands.
+ * Selects the headers of a message that HTTP/1.1 requires an intermediary to forward.
  */
 import type { IncomingMessage } from 'node:http';
 
-/** Headers that concern one connection only. */
+/** Hop-by-hop headers, which apply to a single connection. */
 const HOP_BY_HOP: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
@@ -16,7 +16,7 @@
   'upgrade',
 ]);
 
-/** Names that a Connection header declares to concern this connection only. */
+/** Names of hop-by-hop headers, including those that the Connection header lists. */
 function declaredHopByHop(incoming: IncomingMessage): ReadonlySet<string> {
   const { connection } = incoming.headers;
   if (connection === undefined) return HOP_BY_HOP;
@@ -24,7 +24,7 @@
   return new Set([...HOP_BY_HOP, ...names]);
 }
 
-/** Raw pairs of the headers that are passed on, without those in `dropped`, in lower case. */
+/** End-to-end headers as raw pairs, without those in `dropped`, whose names are in lower case. */
 export function endToEndHeaders(incoming: IncomingMessage, dropped: ReadonlySet<string>): string[] {
   const hopByHop = declaredHopByHop(incoming);
   const kept: string[] = [];
--- a/packages/forwarding/src/event-splitter.test.ts
+++ b/packages/forwarding/src/event-splitter.test.ts
@@ -3,7 +3,7 @@
 
 import { createEventSplitter } from './event-splitter.js';
 
-it('gives the same events however the bytes are cut', () => {
+it('returns the same events for every division into chunks', () => {
   const text = 'id: 1\ndata: one\n\nid: 2\r\ndata: two\r\n\r\nevent: end\n\n';
   fc.assert(
     fc.property(fc.array(fc.integer({ min: 1, max: 9 }), { minLength: 1 }), (sizes) => {
@@ -25,7 +25,7 @@
   );
 });
 
-it('keeps back an event that is not finished', () => {
+it('buffers an incomplete event', () => {
   const splitter = createEventSplitter();
   expect(splitter.push(Buffer.from('id: 1\ndata: o'))).toEqual([]);
   expect(splitter.hasPartialEvent()).toBe(true);
--- a/packages/forwarding/src/event-splitter.ts
+++ b/packages/forwarding/src/event-splitter.ts
@@ -1,25 +1,25 @@
 /**
- * Cuts a stream of server-sent events into whole events. A backend server may stop in the
- * middle of one; the part must never reach the caller, or the event that a continued stream
- * sends again would be glued to it.
+ * Splits a stream of server-sent events into complete events. A backend server may stop in the
+ * middle of an event. The partial event must never reach the caller, or the event that a resumed
+ * stream sends again would be appended to it.
  */
 export interface StreamEvent {
-  /** Undefined when the event names none. */
+  /** Undefined when the event has no id. */
   readonly id: number | undefined;
-  /** The event with its closing blank line, byte for byte. */
+  /** The event including its closing blank line, byte for byte. */
   readonly bytes: Buffer;
 }
 
 export interface EventSplitter {
   push(chunk: Buffer): StreamEvent[];
-  /** Whether bytes of an unfinished event are held. */
+  /** Whether bytes of an incomplete event are buffered. */
   hasPartialEvent(): boolean;
 }
 
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 
-/** Index behind the blank line that closes the first event; -1 when it is not closed yet. */
+/** Index after the blank line that ends the first event; -1 when the event is incomplete. */
 function findEventEnd(bytes: Buffer, from: number): number {
   let position = bytes.indexOf(LINE_FEED, from);
   while (position >= 0) {
--- a/packages/forwarding/src/plain-attempt.ts
+++ b/packages/forwarding/src/plain-attempt.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt at a request whose answer is passed on as a whole. The answer is held until it
- * is complete, so that one that breaks off can still be repeated where the request allows it.
+ * One attempt at a request whose response is forwarded as a whole. The response is buffered until
+ * it is complete, so that a truncated one can still be retried where the request allows it.
  */
 import type { BackendServer } from '@lapisbridge/catalog';
 
@@ -21,8 +21,9 @@
   cancel(reason: string): void;
 }
 
-/** Largest answer that is held; beyond it the backend server is taken to be at fault. */
+/** Largest response that is buffered; a larger one counts as a fault of the backend server. */
 const MAXIMUM_RESPONSE_BYTES = 8 * 1024 * 1024;
+
 function toOutcome(
   end: ExchangeEnd,
   head: ResponseHead | undefined,
@@ -36,7 +37,7 @@
     case ExchangeEndKind.Cancelled:
       return { kind: OutcomeKind.Unknown, reason: end.reason };
     case ExchangeEndKind.Complete: {
-      if (head === undefined) return { kind: OutcomeKind.Unknown, reason: 'no head' };
+      if (head === undefined) return { kind: OutcomeKind.Unknown, reason: 'no response head' };
       if (provesNotRun(head)) {
         return {
           kind: OutcomeKind.NotRun,
@@ -55,7 +56,7 @@
   }
 }
 
-/** `hasRoom`: whether the server has a free slot. */
+/** What an outcome says about the server; `hasFreeSlot` decides what a refusal says. */
 function classifyOutcome(outcome: Outcome, hasFreeSlot: boolean): Verdict {
   switch (outcome.kind) {
     case OutcomeKind.Answered:
@@ -84,7 +85,10 @@
   let responseBytes = 0;
   let exchange: Exchange | undefined;
 
-  /** A server that hangs is told from a sound one by the time that it was given. */
+  /**
+   * What a cancelled attempt says about the server. Only the time it was given tells a hanging
+   * server from a healthy one.
+   */
   function classifyCancelled(): Verdict {
     if (head !== undefined) return Verdict.Sound;
     const isLate = context.now() - startedAt >= lateThresholdMilliseconds(accepted.route);
@@ -106,7 +110,7 @@
         },
         onData(chunk) {
           responseBytes += chunk.length;
-          if (responseBytes > MAXIMUM_RESPONSE_BYTES) exchange?.cancel('answer too large');
+          if (responseBytes > MAXIMUM_RESPONSE_BYTES) exchange?.cancel('response too large');
           else chunks.push(chunk);
         },
         onEnd(end) {
--- a/packages/forwarding/src/serve-plain.ts
+++ b/packages/forwarding/src/serve-plain.ts
@@ -1,7 +1,7 @@
 /**
- * Serves a request with one whole answer. Idempotent requests are repeated on another backend
- * server after a failure, and sent to a second one when the first is late; others are sent
- * again only after proof that they did not run.
+ * Serves a request that has a single complete response. An idempotent request is retried on
+ * another backend server after a failure, and hedged to a second one when the response is late.
+ * Other requests are sent again only with proof that they did not run.
  */
 import { RequestKind } from '@lapisbridge/catalog';
 import { ServerChoiceKind } from '@lapisbridge/routing';
@@ -21,9 +21,9 @@
 import { planRoomWait } from './plan-wait.js';
 import { roundedOrNone } from './rounded-or-none.js';
 
-/** Sends of one request, counting those refused: beyond it the service is taken to be full. */
+/** Maximum sends of one request, including refused ones; beyond it the service counts as full. */
 const MAXIMUM_SENDS = 4;
-/** Below this much time a further attempt cannot be answered. */
+/** With less time left, a further attempt could not be answered. */
 const MINIMUM_ATTEMPT_MILLISECONDS = 10;
 
 function isServerError({ head }: Answered): boolean {
@@ -32,7 +32,7 @@
 
 enum StartKind {
   Started = 'started',
-  /** Every server has had what it takes for now. */
+  /** No server accepts a request of this entry at the moment. */
   Delayed = 'delayed',
   None = 'none',
 }
@@ -43,7 +43,7 @@
   | {
       readonly kind: StartKind.None;
       readonly cause: RefusalCause;
-      /** Milliseconds until a server is likely to serve it; undefined where nothing tells. */
+      /** Milliseconds until a server is expected to serve the request; undefined when unknown. */
       readonly expectedWaitMilliseconds: number | undefined;
     };
 
@@ -56,7 +56,7 @@
   readonly outcome: Outcome;
 }
 
-/** Serves one plain request to its end. */
+/** Serves one plain request until its response has been sent or its caller has disconnected. */
 export async function servePlain(
   context: ForwardContext,
   accepted: AcceptedRequest,
@@ -74,7 +74,7 @@
   }
 
   response.onDisconnect(() => {
-    cancelAll('caller gone');
+    cancelAll('caller disconnected');
     interruptWait?.();
   });
   const expiry = setTimeout(
@@ -85,7 +85,7 @@
     computeRemainingMilliseconds(context, accepted),
   );
 
-  /** Milliseconds to wait for room at a server; 0 where it comes too late for the caller. */
+  /** Milliseconds to wait for a server to accept the request; 0 when too late for the caller. */
   function decideWait(roomInMilliseconds: number, reason: string): number {
     const wait = planRoomWait({
       route,
@@ -104,17 +104,17 @@
     return wait;
   }
 
-  /** What becomes of the request where no server can be sent to now. */
+  /** Decides between waiting and refusing when no server accepts a request at the moment. */
   function delayOrRefuse(choice: ServerChoice): StartResult {
     switch (choice.kind) {
       case ServerChoiceKind.AllLimited: {
-        const wait = decideWait(choice.roomInMilliseconds, 'every server has had its share');
+        const wait = decideWait(choice.roomInMilliseconds, 'limit share used up at every server');
         if (wait > 0) return { kind: StartKind.Delayed, waitMilliseconds: wait };
         return cannotStart(RefusalCause.Full);
       }
       case ServerChoiceKind.AllBackingOff: {
         const { backoffMilliseconds } = choice;
-        const wait = decideWait(backoffMilliseconds, 'every server backs off');
+        const wait = decideWait(backoffMilliseconds, 'backoff requested by every server');
         if (wait > 0) return { kind: StartKind.Delayed, waitMilliseconds: wait };
         return cannotStart(RefusalCause.BackingOff, backoffMilliseconds);
       }
@@ -130,7 +130,7 @@
     }
   }
 
-  /** Starts one more attempt, or says why none can be started. */
+  /** Starts one more attempt, or returns why none can be started. */
   function startNextAttempt(): StartResult {
     if (progress.sends >= MAXIMUM_SENDS) return cannotStart(RefusalCause.Full);
     if (computeRemainingMilliseconds(context, accepted) < MINIMUM_ATTEMPT_MILLISECONDS) {
@@ -175,7 +175,7 @@
     logRequestEnd(context, accepted, {
       kind: RequestEndKind.Response,
       choice: attempt.server.instanceId,
-      reason: 'passed on',
+      reason: 'response forwarded',
       facts: {
         status: outcome.head.status,
         isOnTime: elapsedMilliseconds <= route.objectiveMilliseconds,
@@ -221,7 +221,7 @@
       const settled = await waitForSettled(lateAfterMilliseconds);
       if (response.isEnded) return;
       if (settled === 'stopped') {
-        const unsettled: Outcome = { kind: OutcomeKind.Unknown, reason: 'no answer in time' };
+        const unsettled: Outcome = { kind: OutcomeKind.Unknown, reason: 'no response in time' };
         if (isExpired) {
           progress.outcomes.push(unsettled);
           conclude(RefusalCause.Expired, undefined);
@@ -261,7 +261,7 @@
     }
   } finally {
     clearTimeout(expiry);
-    cancelAll('answered otherwise');
+    cancelAll('request ended');
   }
 }
 
--- a/packages/forwarding/src/serve-stream.ts
+++ b/packages/forwarding/src/serve-stream.ts
@@ -1,7 +1,7 @@
 /**
- * Serves a stream of events. When its backend server fails in the middle, a stream that may be
- * continued goes on at another server behind the last event the caller has; any other one is
- * broken off visibly, so that the caller never takes a part for the whole.
+ * Serves a stream of events. When its backend server fails midway, a resumable stream continues at
+ * another server after the last event that the caller received. Any other stream is visibly
+ * aborted, so that the caller never takes a partial stream for a complete one.
  */
 import type { BackendServer } from '@lapisbridge/catalog';
 import type { ServerView } from '@lapisbridge/routing';
@@ -24,10 +24,10 @@
 import { createStreamRecord } from './stream-record.js';
 import { watchStuck } from './stuck-watch.js';
 
-/** Sends of one stream before its service is taken to be full. */
+/** Maximum sends of one stream before its service counts as full. */
 const MAXIMUM_SENDS = 3;
 
-/** Between two looks at a stream that is overdue. */
+/** Interval between checks of a stream whose next event is overdue. */
 const OVERDUE_CHECK_INTERVAL_MILLISECONDS = 20;
 
 enum StartKind {
@@ -46,14 +46,17 @@
   | { readonly kind: StartKind.None; readonly cause: RefusalCause };
 
 interface StreamState {
-  /** Sends refused since the server's group stood still: they say nothing of the service's load. */
+  /**
+   * Sends refused because the server's lock-step group was down; they say nothing about the
+   * service's load.
+   */
   groupRefusals: number;
-  /** Why its time is up; undefined while it is not. */
+  /** Cause of the timeout; undefined while the stream has not timed out. */
   timeout: RefusalCause | undefined;
-  /** Taken from a server that gave no sign of life, before its first event. */
+  /** Whether the stream was moved from a server that stopped responding. */
   isMoved: boolean;
   currentAttempt: StreamAttempt | undefined;
-  /** Where the current attempt is, or the latest was. */
+  /** Server of the current or the latest attempt. */
   server: BackendServer | undefined;
 }
 
@@ -74,7 +77,7 @@
   }
 }
 
-/** Serves one stream to its end. */
+/** Serves one stream until it is complete or has failed, or its caller has disconnected. */
 export async function serveStream(
   context: ForwardContext,
   accepted: AcceptedRequest,
@@ -94,7 +97,7 @@
     return progress.sends > 0 ? RefusalCause.Full : RefusalCause.NoServer;
   }
 
-  /** Whether a server can begin the stream in time. */
+  /** Whether the server can begin the stream in time for its caller. */
   function canStartInTime({
     slots,
     expected,
@@ -114,7 +117,7 @@
     });
   }
 
-  /** Starts one more attempt, or says why none can be started. */
+  /** Starts one more attempt, or returns why none can be started. */
   function startNextAttempt(): StartResult {
     if (state.timeout !== undefined) return { kind: StartKind.None, cause: state.timeout };
     if (progress.sends - state.groupRefusals >= MAXIMUM_SENDS) {
@@ -145,7 +148,7 @@
       kind: 'attempt',
       subject: accepted.requestId,
       choice: server.instanceId,
-      reason: 'reason' in end ? end.reason : 'whole answer',
+      reason: 'reason' in end ? end.reason : 'complete response',
       facts: {
         ...record.facts(),
         silence: roundedOrNone(context.liveness.silenceMilliseconds(server.instanceId)),
@@ -160,7 +163,7 @@
     logRequestEnd(context, accepted, {
       kind: RequestEndKind.Response,
       choice: server.instanceId,
-      reason: 'whole answer',
+      reason: 'complete response',
       facts: {
         ...record.facts(),
         sends: progress.sends,
@@ -175,7 +178,7 @@
     return engine !== undefined && engine.sets > 0 && context.pulse.hasStopped(service);
   }
 
-  /** Milliseconds until the stream is likely to be served; undefined where nothing tells. */
+  /** Milliseconds until the stream is expected to be served; undefined when unknown. */
   function estimateWaitMilliseconds(
     cause: RefusalCause,
     delay: StreamDelay | undefined,
@@ -187,7 +190,7 @@
     return delay?.kind === DelayKind.BackingOff ? delay.roomInMilliseconds : undefined;
   }
 
-  /** `delay` is what kept the stream from being sent at last. */
+  /** Ends the stream with a refusal or a failure. `delay` is what prevented the last send. */
   function conclude(cause: RefusalCause, delay?: StreamDelay): void {
     const reason = progress.outcomes.map(describeOutcome).join('; ') || cause;
     const proof = response.hasBegun ? undefined : proveNotRun(progress.outcomes, reason);
@@ -210,7 +213,7 @@
     state.currentAttempt?.cancel(reason);
   }
 
-  /** A stream that has begun may still go on at a server that is there, up to its last moment. */
+  /** A stream that has begun may continue at a responsive server until the request expires. */
   function canTimeOut(): boolean {
     if (!response.hasBegun || state.isMoved) return true;
     return state.server !== undefined && context.liveness.isSilent(state.server);
@@ -219,7 +222,7 @@
   function watchEventGaps(): void {
     const remainingMilliseconds = planEventTimeout(route) - record.idleMilliseconds();
     if (remainingMilliseconds <= 0 && canTimeOut())
-      timeOut(RefusalCause.Crowded, 'no event before its caller leaves');
+      timeOut(RefusalCause.Crowded, 'no event within the time that the caller waits');
     else
       eventTimeout = setTimeout(
         watchEventGaps,
@@ -227,9 +230,9 @@
       );
   }
 
-  response.onDisconnect(() => state.currentAttempt?.cancel('caller gone'));
+  response.onDisconnect(() => state.currentAttempt?.cancel('caller disconnected'));
   const expiry = setTimeout(
-    () => timeOut(RefusalCause.Expired, 'time is up'),
+    () => timeOut(RefusalCause.Expired, 'request expired'),
     computeRemainingMilliseconds(context, accepted),
   );
   let eventTimeout: NodeJS.Timeout | undefined;
@@ -249,7 +252,7 @@
           conclude(REFUSAL_CAUSE_BY_DELAY[delay.kind], delay);
           return;
         }
-        // Ranks that refused for their group may run again.
+        // Ranks that refused because of their group may accept requests again.
         if (delay.kind === DelayKind.GroupBroken) progress.tried.clear();
         continue;
       }
--- a/packages/forwarding/src/stream-attempt.ts
+++ b/packages/forwarding/src/stream-attempt.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt at a stream on one backend server. Whole events with contiguous ids are handed
- * on; anything else ends the attempt.
+ * One attempt at a stream on one backend server. Complete events with contiguous ids are
+ * forwarded; anything else ends the attempt.
  */
 import type { BackendServer } from '@lapisbridge/catalog';
 
@@ -15,12 +15,12 @@
 import { judgeRefusal, Verdict } from './server-ledger.js';
 
 export enum StreamEndKind {
-  /** The server's stream came to its proper end. */
+  /** The server completed its stream. */
   Complete = 'complete',
-  /** A whole answer that is no stream: a failure the server stands by. */
+  /** A complete response other than a stream: an error that the server reports. */
   Answered = 'answered',
   NotRun = 'notRun',
-  /** May have run, and broke off. */
+  /** The stream may have run, and ended early. */
   Incomplete = 'broken',
 }
 
@@ -31,15 +31,15 @@
       readonly kind: StreamEndKind.NotRun;
       readonly reason: string;
       readonly wasRefused: boolean;
-      /** Refused since another server of its lock-step group is at fault. */
+      /** Refused because another server of its lock-step group failed. */
       readonly isGroupBroken: boolean;
     }
   | { readonly kind: StreamEndKind.Incomplete; readonly reason: string };
 
 export interface StreamSink {
-  /** Last event that the caller has. */
+  /** Id of the last event that the caller received. */
   lastEventId(): number | undefined;
-  /** Takes one event in order; false asks to pause until `onDrain`. */
+  /** Receives the events in order; returns false to pause until `onDrain`. */
   onEvent(head: ResponseHead, event: StreamEvent): boolean;
   onDrain(listener: () => void): void;
 }
@@ -49,7 +49,7 @@
   cancel(reason: string): void;
 }
 
-/** Events of one chunk or more that were already delivered are dropped; a gap ends the attempt. */
+/** How an event follows the last one delivered: duplicates are dropped, a gap ends the attempt. */
 enum EventOrder {
   Next = 'next',
   Duplicate = 'known',
@@ -65,7 +65,7 @@
   return id === lastEventId + 1 ? EventOrder.Next : EventOrder.Gap;
 }
 
-/** Largest body of a failure that is held to be passed on whole. */
+/** Largest error body that is buffered to be forwarded as a whole. */
 const MAXIMUM_ERROR_BODY_BYTES = 1024 * 1024;
 
 export function startStreamAttempt(
@@ -124,7 +124,7 @@
       return;
     }
     errorBodyBytes += chunk.length;
-    if (errorBodyBytes > MAXIMUM_ERROR_BODY_BYTES) abandon('failure too large');
+    if (errorBodyBytes > MAXIMUM_ERROR_BODY_BYTES) abandon('error response too large');
     else errorBody.push(chunk);
   }
 
@@ -158,12 +158,13 @@
       return { kind: StreamEndKind.Answered, head, body: Buffer.concat(errorBody) };
     }
     if (splitter.hasPartialEvent())
-      return { kind: StreamEndKind.Incomplete, reason: 'ended within an event' };
-    if (!hasFirstEvent) return { kind: StreamEndKind.Incomplete, reason: 'ended without an event' };
+      return { kind: StreamEndKind.Incomplete, reason: 'stream ended within an event' };
+    if (!hasFirstEvent)
+      return { kind: StreamEndKind.Incomplete, reason: 'stream ended without an event' };
     return { kind: StreamEndKind.Complete };
   }
 
-  /** A stream that is given up says nothing of a server with a queue, unless it gives no sign of life. */
+  /** A cancelled stream says nothing about a server with a queue, unless the server is silent. */
   function classifyIncomplete(exchangeEnd: ExchangeEnd): Verdict {
     if (exchangeEnd.kind !== ExchangeEndKind.Cancelled || fault !== undefined)
       return Verdict.Failing;
--- a/packages/forwarding/src/stream-delay.ts
+++ b/packages/forwarding/src/stream-delay.ts
@@ -1,5 +1,5 @@
 /**
- * What keeps a stream from being sent to a server just now, and how long it is kept for that.
+ * Determines why a stream cannot be sent to a server at the moment, and how long it is held.
  */
 import { sleep } from '@lapisbridge/kernel';
 import { ServerChoiceKind } from '@lapisbridge/routing';
@@ -12,13 +12,13 @@
 import { planRoomWait, planWait } from './plan-wait.js';
 
 export enum DelayKind {
-  /** The lock-step groups of all servers stand still. */
+  /** The lock-step groups of all servers are down. */
   GroupBroken = 'groupBroken',
-  /** Every slot is taken, and a place in a queue would be too late. */
+  /** Every slot is taken, and a queued stream would begin too late. */
   Crowded = 'crowded',
-  /** Every server has had this entry's share for now. */
+  /** This entry's share of the limits of every server is used up for now. */
   Limited = 'limited',
-  /** Every server has asked to be sent nothing for now. */
+  /** Every server has asked for a backoff. */
   BackingOff = 'backingOff',
 }
 
@@ -26,14 +26,17 @@
   | {
       readonly kind: DelayKind.GroupBroken;
       readonly brokenForMilliseconds: number;
-      /** Chance that the group runs again within so many milliseconds. */
+      /** Probability that the group runs again within this many milliseconds. */
       chanceOfReturn(withinMilliseconds: number): number;
     }
   | { readonly kind: DelayKind.Crowded }
   | { readonly kind: DelayKind.Limited; readonly roomInMilliseconds: number }
   | { readonly kind: DelayKind.BackingOff; readonly roomInMilliseconds: number };
 
-/** What keeps a stream from being sent now; undefined where a server was chosen or none is left. */
+/**
+ * Returns what prevents a stream from being sent now; undefined when a server was chosen or none
+ * is left.
+ */
 export function toStreamDelay(
   context: ForwardContext,
   choice: ServerChoice,
@@ -64,7 +67,7 @@
   }
 }
 
-/** Why a caller is refused whose stream is not kept any longer. */
+/** Cause with which a caller is refused when its stream is no longer held. */
 export const REFUSAL_CAUSE_BY_DELAY: Readonly<Record<DelayKind, RefusalCause>> = {
   [DelayKind.GroupBroken]: RefusalCause.GroupBroken,
   [DelayKind.Crowded]: RefusalCause.Crowded,
@@ -73,13 +76,13 @@
 };
 
 const REASON_BY_DELAY: Readonly<Record<DelayKind, string>> = {
-  [DelayKind.GroupBroken]: 'its group stands still',
+  [DelayKind.GroupBroken]: 'the lock-step group is down',
   [DelayKind.Crowded]: 'every slot is taken',
-  [DelayKind.Limited]: 'every server has had its share',
-  [DelayKind.BackingOff]: 'every server backs off',
+  [DelayKind.Limited]: 'limit share used up at every server',
+  [DelayKind.BackingOff]: 'backoff requested by every server',
 };
 
-/** Milliseconds for which the stream is kept; 0 when it has to be given up now. */
+/** Milliseconds for which the stream is held; 0 when it has to be refused now. */
 function computeWait(
   { route, isRetry }: AcceptedRequest,
   delay: StreamDelay,
@@ -89,7 +92,7 @@
     case DelayKind.GroupBroken:
       return planWait({ ...situation, ...delay, route, isRetry });
     case DelayKind.Crowded:
-      // It has lost too much of its caller's patience to wait for room once more.
+      // The caller of a moved stream has waited too long already to wait for a free slot again.
       return situation.isMoved ? 0 : planCrowdWait({ ...situation, route, isRetry });
     case DelayKind.Limited:
     case DelayKind.BackingOff:
@@ -101,7 +104,7 @@
   }
 }
 
-/** What decided, for the log. */
+/** Log fields that explain the decision. */
 function delayFacts(delay: StreamDelay, wait: number): Readonly<Record<string, number>> {
   switch (delay.kind) {
     case DelayKind.GroupBroken:
@@ -122,16 +125,19 @@
 }
 
 interface WaitSituation {
-  /** Since the request arrived, or since its caller's last event. */
+  /** Since the request arrived, or since the last event that its caller received. */
   readonly idleMilliseconds: number;
   readonly remainingMilliseconds: number;
-  /** Whether the caller has had events. */
+  /** Whether the caller has received events. */
   readonly hasBegun: boolean;
-  /** Whether it was taken from a server that gave no sign of life. */
+  /** Whether the stream was moved from a server that stopped responding. */
   readonly isMoved: boolean;
 }
 
-/** Waits until a server may take the stream; false when its caller is to be told instead. */
+/**
+ * Waits until a server may accept the stream; resolves with false when the caller is to be refused
+ * instead.
+ */
 export async function waitForServer(
   context: ForwardContext,
   accepted: AcceptedRequest,
--- a/packages/forwarding/src/stream-record.ts
+++ b/packages/forwarding/src/stream-record.ts
@@ -1,5 +1,5 @@
 /**
- * What the caller of a stream has had so far, and when: over all attempts at the stream.
+ * Records which events the caller of a stream has received and when, over all attempts.
  */
 import { LatencyKind } from '@lapisbridge/metrics';
 
@@ -11,16 +11,16 @@
 import type { StreamSink } from './stream-attempt.js';
 
 export interface StreamRecord {
-  /** Passes events on to the caller and takes note of them. */
+  /** Forwards events to the caller and records them. */
   readonly sink: StreamSink;
   /**
-   * Milliseconds since the request arrived, or since its caller's last event; 0 while the caller
-   * does not take more.
+   * Milliseconds since the request arrived, or since the last event that its caller received; 0
+   * while the caller applies backpressure.
    */
   idleMilliseconds(): number;
-  /** Whether first event and pauses were as callers hope for. */
+  /** Whether the first event and the gaps between events met the route's objectives. */
   isOnTime(): boolean;
-  /** For the log. */
+  /** Log fields. */
   facts(): RequestEnd['facts'];
 }
 
