--- a/packages/forwarding/src/backend-server-fixture.ts
+++ b/packages/forwarding/src/backend-server-fixture.ts
@@ -1,7 +1,7 @@
-/** Backend servers, for tests of what is known of them. */
+/** Backend servers for tests. */
 import type { BackendServer } from '@lapisbridge/catalog';
 
-/** A sound plain server, but for the given fields. */
+/** A healthy server outside of any lock-step group, with the given fields replaced. */
 export function serverWith(fields: Partial<BackendServer> = {}): BackendServer {
   return {
     instanceId: 'server',
--- a/packages/forwarding/src/caller-fixture.ts
+++ b/packages/forwarding/src/caller-fixture.ts
@@ -1,17 +1,17 @@
 /**
- * A caller of an entry, for tests of forwarding.
+ * A caller of an entry for tests of forwarding.
  */
 import { request } from 'node:http';
 
 export interface ReceivedResponse {
   readonly status: number;
-  /** Seconds; NaN where the answer has none. */
+  /** NaN when the response does not state it. */
   readonly retryAfterSeconds: number;
-  /** From the request to the end of the answer. */
+  /** From the request to the end of the response. */
   readonly milliseconds: number;
 }
 
-/** Sends one request to the entry at the port. Rejects where the connection fails. */
+/** Sends one request to the entry at the port. Rejects when the connection fails. */
 export function sendRequest(port: number, requestId: string): Promise<ReceivedResponse> {
   const sentAt = performance.now();
   return new Promise((resolve, reject) => {
--- a/packages/forwarding/src/fixture-protocol.ts
+++ b/packages/forwarding/src/fixture-protocol.ts
@@ -1,10 +1,10 @@
 /**
- * How callers and backend servers speak in tests of forwarding.
+ * Protocol between callers, the entry and backend servers in tests of forwarding.
  */
 import { RateLimitKind, RetryAfterKind } from './caller-protocol.js';
 import type { CallerProtocol } from './caller-protocol.js';
 
-/** Plain names of this fixture's own. */
+/** Uses header names that exist only in tests. */
 export const fixtureProtocol: CallerProtocol = {
   decodeRequest: (incoming) => ({
     requestId: incoming.headers['request-id'] as string | undefined,
--- a/packages/forwarding/src/forwarding-fixture.ts
+++ b/packages/forwarding/src/forwarding-fixture.ts
@@ -1,5 +1,6 @@
 /**
- * An entry's forwarding core with scripted backend servers on the loopback address, for tests.
+ * Runs an entry's forwarding core with scripted backend servers on the loopback address, for
+ * tests.
  */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -29,7 +30,7 @@
 import { createServerRateLimits } from './server-rate-limits.js';
 import { createServerStatements } from './server-statements.js';
 
-/** What one backend server does with a request. */
+/** Handles a request at a scripted backend server. */
 export type BackendHandler = (incoming: IncomingMessage, response: ServerResponse) => void;
 
 export interface ReceivedRequest {
@@ -45,18 +46,20 @@
   readonly isStuck: { value: boolean };
   readonly groupHealth: GroupHealth;
   readonly liveness: ServerLiveness;
-  /** Keeps the decisions about each request. */
+  /** Records the decisions about each request. */
   readonly logger: Logger;
   close(): Promise<void>;
 }
 
 export interface FixtureOptions {
-  /** By instance id; `undefined` stands for a server that refuses connections. */
+  /** By instance id; `undefined` makes a server that refuses connections. */
   readonly servers: Readonly<Record<string, BackendHandler | undefined>>;
   readonly route?: Partial<Route>;
   readonly withConfiguration?: boolean;
   readonly retrySlack?: number;
-  /** Requests a second that each server bears while cold, over all entries; no bound without it. */
+  /**
+   * Requests per second that each cold server can serve, over all entries; unlimited when omitted.
+   */
   readonly coldRequestsPerSecond?: number;
   readonly sendingEntries?: SendingEntries;
   /** Ranks of lock-step groups, by instance id. */
@@ -211,7 +214,7 @@
     metrics: createMetrics(),
     ownZone: 'zone',
     now,
-    // Without randomness servers are chosen in the order of their names.
+    // Without randomness, servers are chosen in the order of their names.
     random: () => 0,
     groupHealth,
   };
@@ -240,7 +243,7 @@
   };
 }
 
-/** Answers in full. */
+/** Sends a complete response. */
 export function respondWith(text: string, status = 200): BackendHandler {
   return (incoming, response) => {
     response.writeHead(status, {
@@ -252,12 +255,12 @@
   };
 }
 
-/** Answers later than a server is expected to whose times are not known yet. */
+/** Responds later than is expected of a server whose latency is not known yet. */
 export function withDelay(handler: BackendHandler): BackendHandler {
   return (incoming, response) => void setTimeout(() => handler(incoming, response), 80);
 }
 
-/** States that it did not run the request. */
+/** Refuses the request and states that it did not run. */
 export const refuseRequest: BackendHandler = (incoming, response) => {
   response.writeHead(503, {
     'request-id': String(incoming.headers['request-id']),
@@ -267,7 +270,7 @@
   response.end();
 };
 
-/** Answers in full, and says that it leaves. */
+/** Sends a complete response that announces the shutdown of the server. */
 export const respondLeaving: BackendHandler = (incoming, response) => {
   response.writeHead(200, {
     'request-id': String(incoming.headers['request-id']),
@@ -278,12 +281,15 @@
   response.end();
 };
 
-/** Takes the request and closes the connection without an answer. */
+/** Accepts the request and closes the connection without a response. */
 export const dropConnection: BackendHandler = (incoming) => {
   incoming.socket.destroy();
 };
 
-/** Streams events from `from`, and closes the connection after `until` in the middle of the next. */
+/**
+ * Streams the events up to `last`, starting after the last event that the caller received. With
+ * `interruptedAfter`, closes the connection in the middle of the event after that one.
+ */
 export function streamEvents(last: number, interruptedAfter?: number): BackendHandler {
   return (incoming, response) => {
     const from = Number(incoming.headers['last-event'] ?? 0) + 1;
--- a/packages/forwarding/src/forwarding.test.ts
+++ b/packages/forwarding/src/forwarding.test.ts
@@ -65,17 +65,18 @@
 const IDEMPOTENT = { kind: RequestKind.Idempotent };
 const STREAM = { kind: RequestKind.Streaming, resumable: true };
 
-describe('a request that may run once at most', () => {
-  it('is passed on with its body and comes back unchanged', async () => {
+describe('a request that may run at most once', () => {
+  it('is forwarded with its body, and its response is returned unchanged', async () => {
     const { arrivals } = await start({ servers: { one: respondWith('booked') } });
     const reply = await send();
     expect(reply).toMatchObject({ status: 200, body: 'booked', isWhole: true });
     expect(arrivals).toMatchObject([{ instanceId: 'one', body: 'body' }]);
   });
 
-  it('is never sent again when its answer is lost', async () => {
-    // A server runs a booking and its connection closes before the answer is out. Sent again, the
-    // customer would be booked twice; told "not run", the customer would book elsewhere.
+  it('is never sent again when its response is lost', async () => {
+    // A server runs a booking, and its connection closes before the response is sent. If the
+    // request were sent again, the customer would be booked twice; if it were refused as "not
+    // run", the customer would book elsewhere.
     const { arrivals } = await start({
       servers: { one: dropConnection, two: respondWith('booked') },
     });
@@ -85,15 +86,15 @@
     expect(arrivals).toHaveLength(1);
   });
 
-  it('goes to another server when the first cannot be reached', async () => {
-    // A server is gone and its address refuses connections: no byte has left, so nothing ran.
+  it('is sent to another server when the first is unreachable', async () => {
+    // A server is gone and its address refuses connections: no byte was sent, so nothing ran.
     const { arrivals } = await start({ servers: { one: undefined, two: respondWith('booked') } });
     expect(await send()).toMatchObject({ status: 200, body: 'booked' });
     expect(arrivals).toHaveLength(1);
   });
 
-  it('is refused with a time to come back when no server ran it', async () => {
-    // Every server is full and says so: the caller hears at once that nothing ran.
+  it('is refused with a retry-after time when no server ran it', async () => {
+    // Every server is full and says so: the caller learns at once that nothing ran.
     await start({ servers: { one: refuseRequest, two: refuseRequest } });
     const reply = await send();
     expect(reply.status).toBe(503);
@@ -101,13 +102,13 @@
   });
 
   it('is not refused as "not run" when one of its attempts may have run', async () => {
-    // The first server refuses, the second takes the request and its answer is lost.
+    // The first server refuses; the second accepts the request, and its response is lost.
     await start({ servers: { one: refuseRequest, two: dropConnection } });
     expect((await send()).status).toBe(502);
   });
 });
 
-describe('an answer', () => {
+describe('a response', () => {
   const truncated: BackendHandler = (incoming, response) => {
     response.writeHead(200, {
       'request-id': String(incoming.headers['request-id']),
@@ -117,7 +118,7 @@
     response.write('half', () => incoming.socket.destroy());
   };
 
-  it('that breaks off is fetched again where that does no harm', async () => {
+  it('that is truncated is retried when the request is idempotent', async () => {
     const { arrivals } = await start({
       servers: { one: truncated, two: respondWith('whole') },
       route: IDEMPOTENT,
@@ -126,9 +127,9 @@
     expect(arrivals).toHaveLength(2);
   });
 
-  it('without a length that is reset is not taken for the whole', async () => {
-    // A server sends no length and ends its answer with the connection, which is reset on the
-    // way. A caller that got this as a success would act on half an answer.
+  it('without a length is not complete when the connection is reset', async () => {
+    // A server sends no length and ends its response with the connection, which is reset on the
+    // way. A caller that received it as a success would act on half a response.
     const reset: BackendHandler = (incoming) => {
       incoming.socket.write(
         'HTTP/1.1 200 OK\r\nRequest-Id: request\r\nSignature: signed\r\nConnection: close\r\n\r\nhalf',
@@ -139,7 +140,7 @@
     expect((await send()).status).toBe(502);
   });
 
-  it('without a length that ends by a close is the whole', async () => {
+  it('without a length is complete when the connection is closed', async () => {
     const closing: BackendHandler = (incoming) => {
       incoming.socket.end(
         'HTTP/1.1 200 OK\r\nRequest-Id: request\r\nSignature: signed\r\nConnection: close\r\n\r\nwhole',
@@ -149,8 +150,8 @@
     expect(await send()).toMatchObject({ status: 200, body: 'whole' });
   });
 
-  it('to another request is never passed on', async () => {
-    // A server answers an earlier request where the answer to this one is due.
+  it('to another request is never forwarded', async () => {
+    // A server sends the response to an earlier request in place of the response to this one.
     const wrongRequest: BackendHandler = (_incoming, response) => {
       response.writeHead(200, { 'request-id': 'other', signature: 'signed', 'content-length': 3 });
       response.end('his');
@@ -160,7 +161,7 @@
     expect(reply).toMatchObject({ status: 502, body: '' });
   });
 
-  it('of success without a signature is not passed on', async () => {
+  it('with a success status and no signature is not forwarded', async () => {
     const unsigned: BackendHandler = (incoming, response) => {
       response.writeHead(200, { 'request-id': String(incoming.headers['request-id']) });
       response.end('bytes');
@@ -169,14 +170,15 @@
     expect((await send()).status).toBe(502);
   });
 
-  it('comes at the route’s timeout even if no server answers', async () => {
+  it('is sent at the route’s timeout even if no server responds', async () => {
     const silent: BackendHandler = () => undefined;
     await start({ servers: { one: silent }, route: { timeoutMilliseconds: 120 } });
     expect((await send()).status).toBe(504);
   });
 
-  it('comes from another server after one has not answered at all', async () => {
-    // Guards against taking a request that was given up unanswered for a sign of soundness.
+  it('comes from another server after one has not responded at all', async () => {
+    // Guards against counting an abandoned request without a response as a sign of a healthy
+    // server.
     const hanging: BackendHandler = () => undefined;
     await start({
       servers: { one: hanging, two: respondWith('text') },
@@ -188,9 +190,9 @@
 });
 
 describe('a stream', () => {
-  it('goes on at another server behind the last whole event', async () => {
-    // A server dies in the middle of an event. The caller must see each event once and in order,
-    // and nothing of the part that was cut.
+  it('continues at another server after the last complete event', async () => {
+    // A server dies in the middle of an event. The caller must receive each event once and in
+    // order, and nothing of the truncated one.
     const { arrivals } = await start({
       servers: { one: streamEvents(6, 3), two: streamEvents(6) },
       route: STREAM,
@@ -201,7 +203,7 @@
     expect(arrivals[1]?.headers['last-event']).toBe('3');
   });
 
-  it('that may not be continued is broken off visibly', async () => {
+  it('that is not resumable is visibly aborted', async () => {
     await start({
       servers: { one: streamEvents(6, 3), two: streamEvents(6) },
       route: { ...STREAM, resumable: false },
@@ -211,7 +213,7 @@
     expect(reply.body).not.toContain('ha');
   });
 
-  it('with a gap is broken off rather than passed on', async () => {
+  it('with a gap is aborted rather than forwarded', async () => {
     const gap: BackendHandler = (incoming, response) => {
       response.writeHead(200, {
         'request-id': String(incoming.headers['request-id']),
@@ -225,7 +227,7 @@
     expect(reply).toMatchObject({ body: 'id: 1\ndata: 1\n\n', isWhole: false });
   });
 
-  it('is not repeated beyond the retry budget', async () => {
+  it('is not retried beyond the retry budget', async () => {
     const { arrivals } = await start({
       servers: { one: streamEvents(6, 3), two: streamEvents(6) },
       route: STREAM,
@@ -237,8 +239,9 @@
 });
 
 describe('a caller', () => {
-  it('that leaves ends the work at the server', async () => {
-    // An inspector closes the app; a server that goes on would keep a slot from somebody else.
+  it('that disconnects ends the work at the server', async () => {
+    // An inspector closes the app. A server that went on would occupy a slot that another request
+    // needs.
     let closed: () => void = () => undefined;
     const isClosed = new Promise<void>((resolve) => {
       closed = resolve;
@@ -265,20 +268,20 @@
     await isClosed;
   });
 
-  it('is told to come back while no configuration is known', async () => {
-    // An instance that has just started must not say that a route does not exist.
+  it('is refused with a retry-after time while no configuration is loaded', async () => {
+    // An instance that has just started must not claim that a route does not exist.
     await start({ servers: { one: respondWith('text') }, withConfiguration: false });
     const reply = await send();
     expect(reply.status).toBe(503);
     expect(reply.headers['retry-after']).toBeDefined();
   });
 
-  it('with a body over the limit is turned away', async () => {
+  it('with a body over the limit is rejected', async () => {
     await start({ servers: { one: respondWith('text') } });
     expect((await send({}, 'x'.repeat(1001))).status).toBe(413);
   });
 
-  it('without a request id is turned away before anything is sent on', async () => {
+  it('without a request id is rejected before anything is forwarded', async () => {
     const { arrivals, port } = await start({ servers: { one: respondWith('text') } });
     const status = await new Promise((resolve) => {
       request({ host: '127.0.0.1', port, method: 'POST' }, (incoming) => {
--- a/packages/forwarding/src/group-wait.test.ts
+++ b/packages/forwarding/src/group-wait.test.ts
@@ -1,5 +1,5 @@
 /**
- * Streams while the lock-step group of their backend servers stands still.
+ * Streams while the lock-step group of their backend servers is down.
  */
 import { request } from 'node:http';
 
@@ -52,7 +52,7 @@
   fixture.groupHealth.reported({ group: 'group', rank, epoch, isOpen });
 }
 
-/** Refuses as an engine does whose group stands still on account of another rank. */
+/** Refuses as an engine does whose group is down because of another rank. */
 const refuseForGroup: BackendHandler = (incoming, response) => {
   response.writeHead(503, {
     'request-id': String(incoming.headers['request-id']),
@@ -63,9 +63,9 @@
   response.end();
 };
 
-it('are kept for a group that is about to be back, and sent once it is open', async () => {
-  // An entry restarts while a group stands still, so the outage may be old. Refused at once, all
-  // callers of that second would come back together, or give up.
+it('are held for a group that is likely to recover soon, and sent once it is open', async () => {
+  // An entry restarts while a group is down, so the outage may have lasted for a while. If all
+  // callers of that second were refused at once, they would retry together or give up.
   fixture = await startFixture({
     servers: { one: streamEvents(2), two: streamEvents(2) },
     route: STREAM,
@@ -78,9 +78,9 @@
   expect(fixture.arrivals).toHaveLength(1);
 });
 
-it('are refused at once while the outage has only begun and their time is short', async () => {
-  // The outage is known from its begin, and the caller stays for 0.3 s: the group is not likely to
-  // be back by then.
+it('are refused at once when the outage has just begun and their timeout is short', async () => {
+  // The start of the outage is known, and the caller waits for 0.3 s: the group is unlikely to
+  // recover within that time.
   fixture = await startFixture({
     servers: { one: streamEvents(2) },
     route: { ...STREAM, timeoutMilliseconds: 700 },
@@ -94,7 +94,7 @@
   expect(fixture.arrivals).toHaveLength(0);
 });
 
-it('are refused as not run before their callers would leave, when the group stays broken', async () => {
+it('are refused as not run before their callers time out when the group does not recover', async () => {
   fixture = await startFixture({
     servers: { one: streamEvents(2) },
     route: { ...STREAM, timeoutMilliseconds: 700 },
@@ -107,9 +107,9 @@
   expect(fixture.arrivals).toHaveLength(0);
 });
 
-it('are not tried at every rank once one refusal has named the cause', async () => {
-  // The entry has not heard of the break yet. Trying rank after rank would spend the retry
-  // budget of the whole service within a second.
+it('are not tried at every rank after one refusal has named the cause', async () => {
+  // The entry does not know of the outage yet. Trying one rank after the other would use up the
+  // retry budget of the whole service within a second.
   fixture = await startFixture({
     servers: { one: refuseForGroup, two: refuseForGroup },
     route: { ...STREAM, timeoutMilliseconds: 700 },
@@ -119,9 +119,9 @@
   expect(fixture.arrivals).toHaveLength(1);
 });
 
-it('wait for a server that has had its share for this second', async () => {
-  // A burst uses up what this entry may send to servers that could be cold. They stand half
-  // empty, and a caller that is refused comes back later than a wait of half a second.
+it('wait when the share of a server for this second is used up', async () => {
+  // A burst uses up what this entry may send to servers that could be cold. The servers are half
+  // empty, and a refused caller would retry later than after a wait of half a second.
   fixture = await startFixture({
     servers: { one: streamEvents(2) },
     route: STREAM,
--- a/packages/forwarding/src/head-fixture.ts
+++ b/packages/forwarding/src/head-fixture.ts
@@ -1,8 +1,8 @@
-/** Heads of answers, for tests of what servers state in them. */
+/** Heads of responses, for tests of what servers state in them. */
 import { RateLimitKind, RetryAfterKind } from './caller-protocol.js';
 import type { ResponseHead } from './caller-protocol.js';
 
-/** A whole answer to request `id` that states nothing, but for the given fields. */
+/** A successful response to request `id` that states nothing, with the given fields replaced. */
 export function headWith(fields: Partial<ResponseHead> = {}): ResponseHead {
   return {
     status: 200,
@@ -20,7 +20,7 @@
   };
 }
 
-/** A refusal that states nothing, but for the given fields. */
+/** A refusal that states nothing, with the given fields replaced. */
 export function refusalWith(fields: Partial<ResponseHead> = {}): ResponseHead {
   return headWith({ status: 503, notRun: true, ...fields });
 }
--- a/packages/forwarding/src/late-body.test.ts
+++ b/packages/forwarding/src/late-body.test.ts
@@ -11,9 +11,10 @@
   await fixture?.close();
 });
 
-describe('a request whose body comes after its head', () => {
-  it('is decided on the configuration that is in force when it is whole', async () => {
-    // Guards against an entry that shows a new configuration and then decides on the former one.
+describe('a request whose body arrives after its head', () => {
+  it('is admitted by the configuration in force when the request is complete', async () => {
+    // Guards against an entry that reports a new configuration as in force and then decides on the
+    // former one.
     fixture = await startFixture({ servers: { one: respondWith('whole') } });
     const { catalog, port, arrivals } = fixture;
     const { configuration } = catalog.operators();
--- a/packages/forwarding/src/stream-route-fixture.ts
+++ b/packages/forwarding/src/stream-route-fixture.ts
@@ -1,5 +1,5 @@
 /**
- * A route of streams, for tests of decisions.
+ * A streaming route for tests of decisions.
  */
 import { RequestKind } from '@lapisbridge/catalog';
 import type { Route } from '@lapisbridge/catalog';
