--- a/packages/forwarding/src/backoff.test.ts
+++ b/packages/forwarding/src/backoff.test.ts
@@ -5,22 +5,22 @@
 import { afterEach, expect, it } from 'vitest';
 
 import { sendRequest } from './caller-fixture.js';
-import type { ReceivedAnswer } from './caller-fixture.js';
+import type { ReceivedResponse } from './caller-fixture.js';
 import {
-  answerWith,
-  loseAnswer,
-  slowly,
+  respondWith,
+  dropConnection,
+  withDelay,
   startFixture,
   streamEvents,
 } from './forwarding-fixture.js';
-import type { Fixture, Script } from './forwarding-fixture.js';
+import type { BackendHandler, Fixture } from './forwarding-fixture.js';
 
 let fixture: Fixture;
 
 afterEach(() => fixture.close());
 
 /** Refuses the request and requests a backoff of so many seconds. */
-function refuseWithRetryAfter(seconds: number): Script {
+function refuseWithRetryAfter(seconds: number): BackendHandler {
   return (incoming, response) => {
     response.writeHead(503, {
       'request-id': String(incoming.headers['request-id']),
@@ -32,7 +32,7 @@
   };
 }
 
-function send(id: string): Promise<ReceivedAnswer> {
+function send(id: string): Promise<ReceivedResponse> {
   return sendRequest(fixture.port, id);
 }
 
@@ -46,9 +46,9 @@
   ['idempotent requests', RequestKind.Idempotent],
 ])('sends no %s to a server that backs off, but all to other servers', async (_, kind) => {
   // Guards against sending further requests to a server that has requested a backoff.
-  const serve = kind === RequestKind.Streaming ? streamEvents(2) : answerWith('answer');
+  const serve = kind === RequestKind.Streaming ? streamEvents(2) : respondWith('answer');
   fixture = await startFixture({
-    servers: { backingOff: refuseWithRetryAfter(30), other: slowly(serve) },
+    servers: { backingOff: refuseWithRetryAfter(30), other: withDelay(serve) },
     route: { kind },
   });
   for (let index = 0; index < 8; index += 1) {
@@ -58,7 +58,7 @@
 });
 
 /** Handles the first request with one script and all later ones with another. */
-function firstThen(first: Script, later: Script): Script {
+function firstThen(first: BackendHandler, later: BackendHandler): BackendHandler {
   let isFirst = true;
   return (incoming, response) => {
     const script = isFirst ? first : later;
@@ -67,11 +67,11 @@
   };
 }
 
-const neverAnswer: Script = () => undefined;
+const neverAnswer: BackendHandler = () => undefined;
 
 it.each([
-  ['second try', RequestKind.Idempotent, answerWith('answer'), loseAnswer],
-  ['hedge', RequestKind.Idempotent, answerWith('answer'), neverAnswer],
+  ['second try', RequestKind.Idempotent, respondWith('answer'), dropConnection],
+  ['hedge', RequestKind.Idempotent, respondWith('answer'), neverAnswer],
   ['resumed stream', RequestKind.Streaming, streamEvents(6), streamEvents(6, 3)],
 ])('sends no %s to a server that backs off', async (_, kind, serve, failure) => {
   // Guards against ways of sending that bypass the choice of a server.
@@ -96,7 +96,7 @@
 it('sends to the server again when the backoff is over', async () => {
   // Guards against servers that get no requests after their backoff.
   fixture = await startFixture({
-    servers: { one: refuseWithRetryAfter(0.3), other: slowly(answerWith('answer')) },
+    servers: { one: refuseWithRetryAfter(0.3), other: withDelay(respondWith('answer')) },
   });
   await send('first');
   await new Promise((resolve) => {
@@ -109,7 +109,7 @@
 it('holds a request where a backoff ends soon', async () => {
   // Guards against telling a caller to retry later than it could be served.
   fixture = await startFixture({
-    servers: { one: firstThen(refuseWithRetryAfter(0.3), answerWith('answer')) },
+    servers: { one: firstThen(refuseWithRetryAfter(0.3), respondWith('answer')) },
     route: { kind: RequestKind.AtMostOnce, objectiveMilliseconds: 60_000 },
   });
   await send('first');
@@ -126,7 +126,7 @@
     route: { timeoutMilliseconds: 10_000 },
   });
   await send('first');
-  const { status, retryAfter, milliseconds } = await send('second');
+  const { status, retryAfterSeconds: retryAfter, milliseconds } = await send('second');
   expect(status).toBe(503);
   expect(milliseconds).toBeLessThan(200);
   expect(retryAfter).toBeGreaterThan(1.3);
--- a/packages/forwarding/src/caller-listener.ts
+++ b/packages/forwarding/src/caller-listener.ts
@@ -1,6 +1,6 @@
 /**
- * Takes callers' connections, reads their requests whole, and hands them to the forwarding
- * core. A request that fails in an unforeseen way ends alone; the process goes on.
+ * HTTP server for callers. Reads each request completely and passes it to the forwarding core. An
+ * unexpected error ends only the request in which it occurs; the process goes on.
  */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -8,12 +8,12 @@
 import { RequestKind } from '@lapisbridge/catalog';
 import { LatencyKind } from '@lapisbridge/metrics';
 
-import { AdmissionKind, Impropriety, planAdmission } from './accept-request.js';
-import { createCallerAnswer } from './caller-answer.js';
-import type { CallerAnswer } from './caller-answer.js';
+import { AdmissionKind, decideAdmission, RejectionReason } from './accept-request.js';
+import { createCallerResponse } from './caller-response.js';
+import type { CallerResponse } from './caller-response.js';
 import type { CallerRequest } from './caller-protocol.js';
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
-import { EndKind, noteOutcome } from './note-outcome.js';
+import { logRequestEnd, RequestEndKind } from './request-end.js';
 import { planRetryAfter, RefusalCause } from './plan-retry-after.js';
 import { createRetryDetector } from './retry-detector.js';
 import { servePlain } from './serve-plain.js';
@@ -21,10 +21,13 @@
 
 export interface CallerListener {
   start(): Promise<void>;
-  /** Answers what is in progress, takes nothing that is new in the end; resolves when done. */
+  /**
+   * Accepts connections for `shutdownDelayMilliseconds` more, then completes the requests in
+   * flight; resolves when all connections are closed.
+   */
   stop(): Promise<void>;
-  /** Requests in progress. */
-  inProgress(): number;
+  /** Number of requests in flight. */
+  inFlightCount(): number;
 }
 
 export interface CallerListenerOptions {
@@ -33,49 +36,54 @@
   readonly context: ForwardContext;
   /** Whether the configuration may be outdated. */
   isOutdated(): boolean;
-  /** How long new connections are still taken after a stop was asked for. */
-  readonly lingerMilliseconds: number;
+  /** How long new connections are still accepted after `stop` was called. */
+  readonly shutdownDelayMilliseconds: number;
 }
 
 const BAD_REQUEST = 400;
 const UNAUTHORIZED = 401;
 const NOT_FOUND = 404;
-const TOO_LARGE = 413;
+const CONTENT_TOO_LARGE = 413;
 const SERVICE_UNAVAILABLE = 503;
 
-const STATUS_OF: Readonly<Record<Impropriety, number>> = {
-  [Impropriety.NoRequestId]: BAD_REQUEST,
-  [Impropriety.NoRoute]: NOT_FOUND,
-  [Impropriety.UnknownKey]: UNAUTHORIZED,
+const STATUS_BY_REASON: Readonly<Record<RejectionReason, number>> = {
+  [RejectionReason.MissingRequestId]: BAD_REQUEST,
+  [RejectionReason.RouteNotFound]: NOT_FOUND,
+  [RejectionReason.UnknownKey]: UNAUTHORIZED,
 };
 
-/** Used until a configuration says otherwise. */
-const DEFAULT_BODY_BYTES = 4 * 1024 * 1024;
-const DEFAULT_HEADER_MILLISECONDS = 3000;
-const DEFAULT_IDLE_MILLISECONDS = 15_000;
-/** Callers use four fifths of the idle time; closing later than that never meets a request. */
-const IDLE_FACTOR = 1.2;
+/** Limits that apply until a configuration is loaded. */
+const DEFAULT_MAXIMUM_BODY_BYTES = 4 * 1024 * 1024;
+const DEFAULT_HEADER_TIMEOUT_MILLISECONDS = 3000;
+const DEFAULT_IDLE_TIMEOUT_MILLISECONDS = 15_000;
+/**
+ * Callers reuse a connection that was idle for up to four fifths of the idle timeout. Closing it
+ * later than that timeout never races with a new request.
+ */
+const IDLE_TIMEOUT_FACTOR = 1.2;
 const MAXIMUM_HEADER_BYTES = 64 * 1024;
-/** Time for a whole body; the caller's deadline comes sooner. */
-const BODY_MILLISECONDS = 30_000;
-const CHECK_MILLISECONDS = 1000;
-const CLOSE_IDLE_MILLISECONDS = 100;
-/** Time for a caller without a deadline. */
-const ASSUMED_PATIENCE_MILLISECONDS = 10_000;
-
-/** Reads the body; undefined when it is larger than allowed. */
-function readBody(incoming: IncomingMessage, maximum: number): Promise<Buffer | undefined> {
+/** Time limit for receiving a whole request; the caller's deadline ends sooner. */
+const REQUEST_TIMEOUT_MILLISECONDS = 30_000;
+const TIMEOUT_CHECK_INTERVAL_MILLISECONDS = 1000;
+const IDLE_CLOSE_INTERVAL_MILLISECONDS = 100;
+/** Timeout assumed for a caller that states no deadline. */
+const DEFAULT_CALLER_TIMEOUT_MILLISECONDS = 10_000;
+
+/** Reads the body; undefined when it exceeds the limit. Rejects when the caller disconnects. */
+function readBody(incoming: IncomingMessage, maximumBytes: number): Promise<Buffer | undefined> {
   return new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
     let size = 0;
     incoming.on('data', (chunk: Buffer) => {
       size += chunk.length;
-      if (size > maximum) resolve(undefined);
+      if (size > maximumBytes) resolve(undefined);
       else chunks.push(chunk);
     });
     incoming.on('end', () => resolve(chunks.length === 1 ? chunks[0] : Buffer.concat(chunks)));
     incoming.on('error', reject);
-    incoming.on('close', () => reject(new Error('the caller left within its request')));
+    incoming.on('close', () =>
+      reject(new Error('the caller disconnected before its request was complete')),
+    );
   });
 }
 
@@ -83,10 +91,10 @@
   const { context } = options;
   const returnWatch = createRetryDetector();
   let stopping = false;
-  let active = 0;
+  let inFlight = 0;
 
-  function answerOwn(
-    answer: CallerAnswer,
+  function sendLocalReply(
+    callerResponse: CallerResponse,
     request: CallerRequest,
     status: number,
     reason: string,
@@ -95,7 +103,8 @@
       status === SERVICE_UNAVAILABLE
         ? planRetryAfter({
             cause: RefusalCause.NoConfiguration,
-            remainingMilliseconds: request.patienceMilliseconds ?? ASSUMED_PATIENCE_MILLISECONDS,
+            remainingMilliseconds:
+              request.callerTimeoutMilliseconds ?? DEFAULT_CALLER_TIMEOUT_MILLISECONDS,
             random: context.random(),
           })
         : undefined;
@@ -106,50 +115,68 @@
       reason,
       facts: { configurationVersion: context.catalog.operators().configuration?.version },
     });
-    const headers = context.protocol.encodeOwnAnswer(request.requestId, retryAfter);
-    answer.send(status, headers, Buffer.alloc(0));
+    const headers = context.protocol.encodeLocalReplyHeaders(request.requestId, retryAfter);
+    callerResponse.send(status, headers, Buffer.alloc(0));
     context.metrics.countRequest('not admitted', status);
   }
 
-  function noteLeft(accepted: AcceptedRequest): void {
-    noteOutcome(context, accepted, {
-      kind: EndKind.Gone,
+  function logCallerDisconnect(accepted: AcceptedRequest): void {
+    logRequestEnd(context, accepted, {
+      kind: RequestEndKind.CallerDisconnected,
       choice: 'caller',
-      reason: 'the caller left',
-      facts: { hasBegun: accepted.answer.hasBegun },
+      reason: 'the caller disconnected',
+      facts: { hasBegun: accepted.response.hasBegun },
     });
   }
 
-  async function serve(incoming: IncomingMessage, response: ServerResponse): Promise<void> {
-    const answer = createCallerAnswer(response);
+  async function handleRequest(incoming: IncomingMessage, response: ServerResponse): Promise<void> {
+    const callerResponse = createCallerResponse(response);
     const arrivedAt = context.now();
     const request = context.protocol.decodeRequest(incoming);
     const { limits } = context.catalog.operators().configuration ?? {};
-    const maximumBody = limits?.maximumBodyBytes ?? DEFAULT_BODY_BYTES;
+    const maximumBody = limits?.maximumBodyBytes ?? DEFAULT_MAXIMUM_BODY_BYTES;
     const body = await readBody(incoming, maximumBody);
-    if (answer.isOver) return;
+    if (callerResponse.isEnded) return;
     if (body === undefined) {
       response.shouldKeepAlive = false;
-      answerOwn(answer, request, TOO_LARGE, `body over ${maximumBody} bytes`);
+      sendLocalReply(
+        callerResponse,
+        request,
+        CONTENT_TOO_LARGE,
+        `body exceeds ${maximumBody} bytes`,
+      );
       return;
     }
-    // A newer one may have come into force while the body was read.
+    // A newer configuration may have been loaded while the body was read.
     const { configuration } = context.catalog.operators();
-    const admission = planAdmission({
+    const admission = decideAdmission({
       configuration,
       isOutdated: options.isOutdated(),
       request,
-      share: context.random(),
+      randomValue: context.random(),
     });
     switch (admission.kind) {
-      case AdmissionKind.NotKnown:
-        answerOwn(answer, request, SERVICE_UNAVAILABLE, 'configuration not known or outdated');
+      case AdmissionKind.Undecided:
+        sendLocalReply(
+          callerResponse,
+          request,
+          SERVICE_UNAVAILABLE,
+          'configuration missing or possibly outdated',
+        );
         return;
-      case AdmissionKind.Improper:
-        answerOwn(answer, request, STATUS_OF[admission.fault], admission.fault);
+      case AdmissionKind.Rejected:
+        sendLocalReply(
+          callerResponse,
+          request,
+          STATUS_BY_REASON[admission.reason],
+          admission.reason,
+        );
         return;
       case AdmissionKind.Accepted: {
-        const isRetry = returnWatch.isRetry(admission.route.name, request.patienceMilliseconds);
+        const isRetry = returnWatch.isRetry(
+          admission.route.name,
+          request.callerTimeoutMilliseconds,
+        );
         const accepted = {
           ...admission,
           request,
@@ -157,7 +184,7 @@
           body,
           arrivedAt,
           expiresAt: arrivedAt + admission.timeoutMilliseconds,
-          answer,
+          response: callerResponse,
           isRetry,
           priority: admission.account?.priority ?? admission.route.priority,
         };
@@ -165,8 +192,8 @@
         context.arrivals.recordArrival(admission.service);
         if (admission.route.kind === RequestKind.Streaming) await serveStream(context, accepted);
         else await servePlain(context, accepted);
-        if (answer.hasLeft) noteLeft(accepted);
-        context.metrics.countRequest(admission.route.kind, answer.status);
+        if (callerResponse.hasDisconnected) logCallerDisconnect(accepted);
+        context.metrics.countRequest(admission.route.kind, callerResponse.status);
         context.metrics.observe(LatencyKind.Answer, context.now() - arrivedAt);
         return;
       }
@@ -178,28 +205,29 @@
   }
 
   function onRequest(incoming: IncomingMessage, response: ServerResponse): void {
-    active += 1;
+    inFlight += 1;
     response.once('close', () => {
-      active -= 1;
+      inFlight -= 1;
     });
     if (stopping) response.shouldKeepAlive = false;
     applyLimits();
-    serve(incoming, response).catch((thrown: unknown) => {
+    handleRequest(incoming, response).catch((thrown: unknown) => {
       context.logger.warn('request failed', { reason: String(thrown) });
       response.destroy();
     });
   }
 
   const server: Server = createServer({ maxHeaderSize: MAXIMUM_HEADER_BYTES }, onRequest);
-  server.requestTimeout = BODY_MILLISECONDS;
+  server.requestTimeout = REQUEST_TIMEOUT_MILLISECONDS;
   (server as Server & { connectionsCheckingInterval: number }).connectionsCheckingInterval =
-    CHECK_MILLISECONDS;
+    TIMEOUT_CHECK_INTERVAL_MILLISECONDS;
 
   function applyLimits(): void {
     const limits = context.catalog.operators().configuration?.limits;
-    server.headersTimeout = limits?.headerTimeoutMilliseconds ?? DEFAULT_HEADER_MILLISECONDS;
+    server.headersTimeout =
+      limits?.headerTimeoutMilliseconds ?? DEFAULT_HEADER_TIMEOUT_MILLISECONDS;
     server.keepAliveTimeout =
-      (limits?.idleTimeoutMilliseconds ?? DEFAULT_IDLE_MILLISECONDS) * IDLE_FACTOR;
+      (limits?.idleTimeoutMilliseconds ?? DEFAULT_IDLE_TIMEOUT_MILLISECONDS) * IDLE_TIMEOUT_FACTOR;
   }
 
   return {
@@ -215,16 +243,20 @@
     },
     async stop() {
       stopping = true;
-      // The balancer notices only after some of its checks; until then it sends connections.
+      // The load balancer notices the shutdown only after some of its health checks and sends new
+      // connections until then.
       await new Promise((resolve) => {
-        setTimeout(resolve, options.lingerMilliseconds);
+        setTimeout(resolve, options.shutdownDelayMilliseconds);
       });
-      const timer = setInterval(() => server.closeIdleConnections(), CLOSE_IDLE_MILLISECONDS);
+      const timer = setInterval(
+        () => server.closeIdleConnections(),
+        IDLE_CLOSE_INTERVAL_MILLISECONDS,
+      );
       await new Promise<void>((resolve) => {
         server.close(() => resolve());
       });
       clearInterval(timer);
     },
-    inProgress: () => active,
+    inFlightCount: () => inFlight,
   };
 }
--- a/packages/forwarding/src/event-splitter.test.ts
+++ b/packages/forwarding/src/event-splitter.test.ts
@@ -3,7 +3,7 @@
 
 import { createEventSplitter } from './event-splitter.js';
 
-it('gives the same events however the bytes are cut', () => {
+it('returns the same events for every division into chunks', () => {
   const text = 'id: 1\ndata: one\n\nid: 2\r\ndata: two\r\n\r\nevent: end\n\n';
   fc.assert(
     fc.property(fc.array(fc.integer({ min: 1, max: 9 }), { minLength: 1 }), (sizes) => {
@@ -19,14 +19,14 @@
       }
       expect(events.map(({ id }) => id)).toEqual([1, 2, undefined]);
       expect(events.map((event) => event.text).join('')).toBe(text);
-      expect(splitter.hasRest()).toBe(false);
+      expect(splitter.hasPartialEvent()).toBe(false);
     }),
     { seed: 1 },
   );
 });
 
-it('keeps back an event that is not finished', () => {
+it('buffers an incomplete event', () => {
   const splitter = createEventSplitter();
   expect(splitter.push(Buffer.from('id: 1\ndata: o'))).toEqual([]);
-  expect(splitter.hasRest()).toBe(true);
+  expect(splitter.hasPartialEvent()).toBe(true);
 });
--- a/packages/forwarding/src/exchange.ts
+++ b/packages/forwarding/src/exchange.ts
@@ -1,21 +1,22 @@
 /**
- * One HTTP exchange with a backend server, on a connection of its own. A kept connection may
- * carry bytes of an earlier exchange, or may have been lost silently; nobody could then tell
- * whether the request was taken. A fresh one costs a round trip and rules both out. As long as
- * it is not established no byte has left, so a failure until then proves that nothing ran.
+ * One HTTP exchange with a backend server, on a new connection. A reused connection may still
+ * carry bytes of an earlier exchange, or may have been lost without notice; it would then be
+ * unknown whether the request was received. A new connection costs one round trip and rules out
+ * both. Until it is established no byte has been sent, so a failure up to then proves that the
+ * request did not run.
  */
 import { request as httpRequest } from 'node:http';
 import type { ClientRequest, IncomingMessage } from 'node:http';
 import type { Socket } from 'node:net';
 
 export enum ExchangeEndKind {
-  /** The whole answer arrived, delimited as HTTP demands. */
+  /** The complete response arrived, delimited as HTTP requires. */
   Complete = 'complete',
   /** The request never left this process. */
   NotSent = 'notSent',
-  /** The request may have run; the answer is missing or broken off. */
-  Broken = 'broken',
-  /** This process gave the exchange up. */
+  /** The request may have run; the response is missing or truncated. */
+  Incomplete = 'broken',
+  /** This process cancelled the exchange. */
   Cancelled = 'cancelled',
 }
 
@@ -25,7 +26,7 @@
 }
 
 export interface ExchangeListener {
-  /** Head of the answer. */
+  /** Called with the head of the response. */
   onHead(incoming: IncomingMessage): void;
   onData(chunk: Buffer): void;
   /** Called once, last. */
@@ -40,7 +41,7 @@
   /** Raw pairs. */
   readonly headers: readonly string[];
   readonly body: Buffer;
-  readonly connectMilliseconds: number;
+  readonly connectTimeoutMilliseconds: number;
 }
 
 export interface Exchange {
@@ -49,19 +50,22 @@
   resume(): void;
 }
 
-/** First probe of an idle connection; a peer without power never answers on its own. */
-const KEEP_ALIVE_MILLISECONDS = 1000;
+/**
+ * Idle time before the first TCP keep-alive probe. A peer that lost power never closes its
+ * connections.
+ */
+const TCP_KEEP_ALIVE_MILLISECONDS = 1000;
 
-/** An answer with neither a length nor chunks ends with its connection. */
-function endsWithConnection({ headers }: IncomingMessage): boolean {
+/** Whether only the end of its connection delimits the response: it has no length and no chunks. */
+function isCloseDelimited({ headers }: IncomingMessage): boolean {
   return headers['content-length'] === undefined && headers['transfer-encoding'] === undefined;
 }
 
 export function openExchange(options: ExchangeOptions, listener: ExchangeListener): Exchange {
   let ended = false;
   let connected = false;
-  let isProbing = false;
-  let answer: IncomingMessage | undefined;
+  let isCheckingReset = false;
+  let response: IncomingMessage | undefined;
   let connectTimer: NodeJS.Timeout | undefined;
   let request: ClientRequest | undefined;
 
@@ -74,50 +78,51 @@
   }
 
   function fail(reason: string): void {
-    end(connected ? ExchangeEndKind.Broken : ExchangeEndKind.NotSent, reason);
+    end(connected ? ExchangeEndKind.Incomplete : ExchangeEndKind.NotSent, reason);
   }
 
   /**
-   * Whether an answer that ends with its connection ended by a close or by a reset. A reset
-   * that arrives together with the last bytes reads like a close, and half an answer would pass
-   * for the whole; only a write then still fails with it. An empty line does no harm: servers
-   * skip it, and this one has closed its side.
+   * Determines whether a close-delimited response ended by a close or by a reset. A reset that
+   * arrives together with the last bytes reads like a close, so that half a response would count
+   * as complete; only a later write still fails because of it. The empty line written here does no
+   * harm: servers skip it, and this one has closed its side.
    */
-  function probeReset(socket: Socket): void {
-    if (answer === undefined || !endsWithConnection(answer)) return;
-    isProbing = true;
+  function checkForReset(socket: Socket): void {
+    if (response === undefined || !isCloseDelimited(response)) return;
+    isCheckingReset = true;
     socket.write('\r\n', (error) => {
-      if (error === null || error === undefined) end(ExchangeEndKind.Complete, 'whole answer');
-      else fail(`reset at the end: ${error.message}`);
+      if (error === null || error === undefined) end(ExchangeEndKind.Complete, 'complete response');
+      else fail(`connection reset at the end of the response: ${error.message}`);
     });
   }
 
   function onSocket(socket: Socket): void {
     socket.setNoDelay(true);
-    socket.setKeepAlive(true, KEEP_ALIVE_MILLISECONDS);
-    // Node.js ends an answer without a length as complete when its connection is reset, before
-    // it tells of the error; half an answer would pass for the whole. So this listener is first.
+    socket.setKeepAlive(true, TCP_KEEP_ALIVE_MILLISECONDS);
+    // When a connection is reset, Node.js ends a response without a length as complete before it
+    // emits the error, so that half a response would count as complete. This listener therefore
+    // runs first.
     socket.prependListener('error', (error) => fail(error.message));
-    socket.prependListener('end', () => probeReset(socket));
+    socket.prependListener('end', () => checkForReset(socket));
     socket.once('connect', () => {
       connected = true;
       clearTimeout(connectTimer);
     });
   }
 
-  function onAnswer(incoming: IncomingMessage): void {
+  function onResponse(incoming: IncomingMessage): void {
     if (ended) return;
-    answer = incoming;
+    response = incoming;
     incoming.on('data', (chunk: Buffer) => {
       if (!ended) listener.onData(chunk);
     });
     incoming.on('end', () => {
-      if (!incoming.complete) fail('answer broken off');
-      else if (!isProbing) end(ExchangeEndKind.Complete, 'whole answer');
+      if (!incoming.complete) fail('response truncated');
+      else if (!isCheckingReset) end(ExchangeEndKind.Complete, 'complete response');
     });
     incoming.on('error', (error) => fail(error.message));
     incoming.on('close', () => {
-      if (!isProbing) fail('connection closed within the answer');
+      if (!isCheckingReset) fail('connection closed before the end of the response');
     });
     listener.onHead(incoming);
   }
@@ -137,16 +142,17 @@
     return { cancel: () => undefined, pause: () => undefined, resume: () => undefined };
   }
   connectTimer = setTimeout(() => {
-    // After a stall timers run first; the connection may have been made meanwhile.
+    // After a stall of the event loop, timers run before I/O callbacks; the connection may have
+    // been established meanwhile.
     setImmediate(() => {
-      if (!connected) fail('no connection in time');
+      if (!connected) fail('connection timed out');
     });
-  }, options.connectMilliseconds);
+  }, options.connectTimeoutMilliseconds);
   request.on('socket', onSocket);
-  request.on('response', onAnswer);
+  request.on('response', onResponse);
   request.on('error', (error) => fail(error.message));
   request.on('close', () => {
-    if (!isProbing) fail('connection closed without an answer');
+    if (!isCheckingReset) fail('connection closed without a response');
   });
   request.end(options.body);
   return {
@@ -154,10 +160,10 @@
       end(connected ? ExchangeEndKind.Cancelled : ExchangeEndKind.NotSent, reason);
     },
     pause() {
-      answer?.pause();
+      response?.pause();
     },
     resume() {
-      answer?.resume();
+      response?.resume();
     },
   };
 }
--- a/packages/forwarding/src/forwarding-fixture.ts
+++ b/packages/forwarding/src/forwarding-fixture.ts
@@ -1,5 +1,6 @@
 /**
- * An entry's forwarding core with scripted backend servers on the loopback address, for tests.
+ * Runs an entry's forwarding core with scripted backend servers on the loopback address, for
+ * tests.
  */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -29,10 +30,10 @@
 import { createServerRateLimits } from './server-rate-limits.js';
 import { createServerStatements } from './server-statements.js';
 
-/** What one backend server does with a request. */
-export type Script = (incoming: IncomingMessage, response: ServerResponse) => void;
+/** Handles a request at a scripted backend server. */
+export type BackendHandler = (incoming: IncomingMessage, response: ServerResponse) => void;
 
-export interface Arrival {
+export interface ReceivedRequest {
   readonly instanceId: string;
   readonly headers: IncomingMessage['headers'];
   readonly body: string;
@@ -40,24 +41,26 @@
 
 export interface Fixture {
   readonly port: number;
-  readonly arrivals: readonly Arrival[];
+  readonly arrivals: readonly ReceivedRequest[];
   readonly catalog: Catalog;
   readonly isStuck: { value: boolean };
   readonly groupHealth: GroupHealth;
   readonly liveness: ServerLiveness;
-  /** Keeps the decisions about each request. */
+  /** Records the decisions about each request. */
   readonly logger: Logger;
   close(): Promise<void>;
 }
 
 export interface FixtureOptions {
-  /** By instance id; `undefined` stands for a server that refuses connections. */
-  readonly servers: Readonly<Record<string, Script | undefined>>;
+  /** By instance id; `undefined` makes a server that refuses connections. */
+  readonly servers: Readonly<Record<string, BackendHandler | undefined>>;
   readonly route?: Partial<Route>;
   readonly withConfiguration?: boolean;
   readonly retrySlack?: number;
-  /** Requests a second that each server bears while cold, over all entries; no bound without it. */
-  readonly coldRate?: number;
+  /**
+   * Requests per second that each cold server can serve, over all entries; unlimited when omitted.
+   */
+  readonly coldRequestsPerSecond?: number;
   readonly sendingEntries?: SendingEntries;
   /** Ranks of lock-step groups, by instance id. */
   readonly groups?: Readonly<Record<string, GroupRank>>;
@@ -81,7 +84,7 @@
   resumable: false,
 };
 
-function configurationWith(route: Route, coldRate: number): Configuration {
+function configurationWith(route: Route, coldRequestsPerSecond: number): Configuration {
   return {
     version: 1,
     routes: [route],
@@ -91,7 +94,7 @@
         {
           name: SERVICE,
           maximumConnections: 100,
-          coldRequestsPerSecond: coldRate,
+          coldRequestsPerSecond,
           engine: undefined,
         },
       ],
@@ -131,22 +134,22 @@
   });
 }
 
-const ALONE: SendingEntries = { own: 'entry', names: ['entry'], count: 1 };
+const SINGLE_ENTRY: SendingEntries = { own: 'entry', names: ['entry'], count: 1 };
 
 export async function startFixture(options: FixtureOptions): Promise<Fixture> {
-  const arrivals: Arrival[] = [];
+  const arrivals: ReceivedRequest[] = [];
   const running: Server[] = [];
   const sockets = new Set<Socket>();
   const servers = new Map<string, BackendServer>();
-  for (const [instanceId, script] of Object.entries(options.servers)) {
+  for (const [instanceId, handler] of Object.entries(options.servers)) {
     let port: number;
-    if (script === undefined) {
+    if (handler === undefined) {
       port = await freePort();
     } else {
       const server = createServer((incoming, response) => {
         void readText(incoming).then((body) => {
           arrivals.push({ instanceId, headers: incoming.headers, body });
-          script(incoming, response);
+          handler(incoming, response);
         });
       });
       server.on('connection', (socket) => sockets.add(socket));
@@ -170,7 +173,10 @@
   if (options.withConfiguration !== false) {
     catalog.replaceOperators({
       revision: 1,
-      configuration: configurationWith({ ...ROUTE, ...options.route }, options.coldRate ?? 0),
+      configuration: configurationWith(
+        { ...ROUTE, ...options.route },
+        options.coldRequestsPerSecond ?? 0,
+      ),
       drainedZones: new Set(),
     });
   }
@@ -190,11 +196,11 @@
       () => 1,
       now,
     ),
-    coldShare: createColdStartShare(() => options.sendingEntries ?? ALONE, now),
+    coldShare: createColdStartShare(() => options.sendingEntries ?? SINGLE_ENTRY, now),
     statements: createServerStatements({
       rateLimits: createServerRateLimits({
         logger,
-        entries: () => options.sendingEntries ?? ALONE,
+        entries: () => options.sendingEntries ?? SINGLE_ENTRY,
         onChange: () => undefined,
         now,
       }),
@@ -208,7 +214,7 @@
     metrics: createMetrics(),
     ownZone: 'zone',
     now,
-    // Without randomness servers are chosen in the order of their names.
+    // Without randomness, servers are chosen in the order of their names.
     random: () => 0,
     groupHealth,
   };
@@ -218,7 +224,7 @@
     port,
     context,
     isOutdated: () => false,
-    lingerMilliseconds: 0,
+    shutdownDelayMilliseconds: 0,
   });
   await listener.start();
   return {
@@ -237,8 +243,8 @@
   };
 }
 
-/** Answers in full. */
-export function answerWith(text: string, status = 200): Script {
+/** Sends a complete response. */
+export function respondWith(text: string, status = 200): BackendHandler {
   return (incoming, response) => {
     response.writeHead(status, {
       'request-id': String(incoming.headers['request-id']),
@@ -249,13 +255,13 @@
   };
 }
 
-/** Answers later than a server is expected to whose times are not known yet. */
-export function slowly(script: Script): Script {
-  return (incoming, response) => void setTimeout(() => script(incoming, response), 80);
+/** Responds later than is expected of a server whose latency is not known yet. */
+export function withDelay(handler: BackendHandler): BackendHandler {
+  return (incoming, response) => void setTimeout(() => handler(incoming, response), 80);
 }
 
-/** States that it did not run the request. */
-export const refuseAll: Script = (incoming, response) => {
+/** Refuses the request and states that it did not run. */
+export const refuseRequest: BackendHandler = (incoming, response) => {
   response.writeHead(503, {
     'request-id': String(incoming.headers['request-id']),
     'not-run': '1',
@@ -264,8 +270,8 @@
   response.end();
 };
 
-/** Answers in full, and says that it leaves. */
-export const answerLeaving: Script = (incoming, response) => {
+/** Sends a complete response that announces the shutdown of the server. */
+export const respondLeaving: BackendHandler = (incoming, response) => {
   response.writeHead(200, {
     'request-id': String(incoming.headers['request-id']),
     signature: 'signed',
@@ -275,13 +281,16 @@
   response.end();
 };
 
-/** Takes the request and closes the connection without an answer. */
-export const loseAnswer: Script = (incoming) => {
+/** Accepts the request and closes the connection without a response. */
+export const dropConnection: BackendHandler = (incoming) => {
   incoming.socket.destroy();
 };
 
-/** Streams events from `from`, and closes the connection after `until` in the middle of the next. */
-export function streamEvents(last: number, brokenAfter?: number): Script {
+/**
+ * Streams the events up to `last`, starting after the last event that the caller received. With
+ * `interruptedAfter`, closes the connection in the middle of the event after that one.
+ */
+export function streamEvents(last: number, interruptedAfter?: number): BackendHandler {
   return (incoming, response) => {
     const from = Number(incoming.headers['last-event'] ?? 0) + 1;
     response.writeHead(200, {
@@ -290,7 +299,7 @@
       'content-type': 'text/event-stream',
     });
     for (let id = from; id <= last; id += 1) {
-      if (brokenAfter !== undefined && id > brokenAfter) {
+      if (interruptedAfter !== undefined && id > interruptedAfter) {
         response.write(`id: ${id}\ndata: ha`, () => incoming.socket.destroy());
         return;
       }
--- a/packages/forwarding/src/group-wait.test.ts
+++ b/packages/forwarding/src/group-wait.test.ts
@@ -1,5 +1,5 @@
 /**
- * Streams while the lock-step group of their backend servers stands still.
+ * Streams while the lock-step group of their backend servers is down.
  */
 import { request } from 'node:http';
 
@@ -8,7 +8,7 @@
 import { afterEach, expect, it } from 'vitest';
 
 import { startFixture, streamEvents } from './forwarding-fixture.js';
-import type { Fixture, Script } from './forwarding-fixture.js';
+import type { BackendHandler, Fixture } from './forwarding-fixture.js';
 
 let fixture: Fixture;
 
@@ -48,12 +48,12 @@
   });
 }
 
-function tell(rank: number, epoch: number, isOpen: boolean): void {
+function reportRank(rank: number, epoch: number, isOpen: boolean): void {
   fixture.groupHealth.recordReport({ group: 'group', rank, epoch, isOpen });
 }
 
-/** Refuses as an engine does whose group stands still on account of another rank. */
-const refuseForGroup: Script = (incoming, response) => {
+/** Refuses as an engine does whose group is down because of another rank. */
+const refuseForGroup: BackendHandler = (incoming, response) => {
   response.writeHead(503, {
     'request-id': String(incoming.headers['request-id']),
     'not-run': '1',
@@ -63,53 +63,53 @@
   response.end();
 };
 
-it('are kept for a group that is about to be back, and sent once it is open', async () => {
-  // An entry restarts while a group stands still, so the outage may be old. Refused at once, all
-  // callers of that second would come back together, or give up.
+it('are held for a group that is likely to recover soon, and sent once it is open', async () => {
+  // An entry restarts while a group is down, so the outage may have lasted for a while. If all
+  // callers of that second were refused at once, they would retry together or give up.
   fixture = await startFixture({
     servers: { one: streamEvents(2), two: streamEvents(2) },
     route: STREAM,
     groups: GROUPS,
   });
-  tell(0, 1, false);
+  reportRank(0, 1, false);
   const reply = stream();
-  setTimeout(() => tell(0, 2, true), 100);
+  setTimeout(() => reportRank(0, 2, true), 100);
   expect(await reply).toMatchObject({ status: 200, body: 'id: 1\ndata: 1\n\nid: 2\ndata: 2\n\n' });
   expect(fixture.arrivals).toHaveLength(1);
 });
 
-it('are refused at once while the outage has only begun and their time is short', async () => {
-  // The outage is known from its begin, and the caller stays for 0.3 s: the group is not likely to
-  // be back by then.
+it('are refused at once when the outage has just begun and their timeout is short', async () => {
+  // The start of the outage is known, and the caller waits for 0.3 s: the group is unlikely to
+  // recover within that time.
   fixture = await startFixture({
     servers: { one: streamEvents(2) },
     route: { ...STREAM, timeoutMilliseconds: 700 },
     groups: GROUPS,
   });
-  tell(0, 1, true);
-  tell(0, 1, false);
+  reportRank(0, 1, true);
+  reportRank(0, 1, false);
   const { status, retryAfter } = await stream();
   expect(status).toBe(503);
   expect(Number(retryAfter)).toBeGreaterThan(0);
   expect(fixture.arrivals).toHaveLength(0);
 });
 
-it('are refused as not run before their callers would leave, when the group stays broken', async () => {
+it('are refused as not run before their callers time out when the group does not recover', async () => {
   fixture = await startFixture({
     servers: { one: streamEvents(2) },
     route: { ...STREAM, timeoutMilliseconds: 700 },
     groups: GROUPS,
   });
-  tell(0, 1, false);
+  reportRank(0, 1, false);
   const { status, retryAfter } = await stream();
   expect(status).toBe(503);
   expect(Number(retryAfter)).toBeGreaterThan(0);
   expect(fixture.arrivals).toHaveLength(0);
 });
 
-it('are not tried at every rank once one refusal has named the cause', async () => {
-  // The entry has not heard of the break yet. Trying rank after rank would spend the retry
-  // budget of the whole service within a second.
+it('are not tried at every rank after one refusal has named the cause', async () => {
+  // The entry does not know of the outage yet. Trying one rank after the other would use up the
+  // retry budget of the whole service within a second.
   fixture = await startFixture({
     servers: { one: refuseForGroup, two: refuseForGroup },
     route: { ...STREAM, timeoutMilliseconds: 700 },
@@ -119,13 +119,13 @@
   expect(fixture.arrivals).toHaveLength(1);
 });
 
-it('wait for a server that has had its share for this second', async () => {
-  // A burst uses up what this entry may send to servers that could be cold. They stand half
-  // empty, and a caller that is refused comes back later than a wait of half a second.
+it('wait when the share of a server for this second is used up', async () => {
+  // A burst uses up what this entry may send to servers that could be cold. The servers are half
+  // empty, and a refused caller would retry later than after a wait of half a second.
   fixture = await startFixture({
     servers: { one: streamEvents(2) },
     route: STREAM,
-    coldRate: 1,
+    coldRequestsPerSecond: 1,
   });
   expect((await stream()).status).toBe(200);
   await sleep(500);
--- a/packages/forwarding/src/index.ts
+++ b/packages/forwarding/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Serves callers' requests on backend servers that are called directly.
+ * Forwards callers' requests directly to backend servers.
  */
 export { createArrivalMeter } from './arrival-meter.js';
 export type { ArrivalMeter } from './arrival-meter.js';
@@ -7,10 +7,10 @@
 export type { CallerListener, CallerListenerOptions } from './caller-listener.js';
 export { RateLimitKind, RetryAfterKind } from './caller-protocol.js';
 export type {
-  AnswerHead,
+  ResponseHead,
   CallerProtocol,
   CallerRequest,
-  ForwardInput,
+  ForwardHeadersInput,
   ReportedLoad,
   StatedRateLimit,
   StatedRetryAfter,
--- a/packages/forwarding/src/late-answer.ts
+++ b/packages/forwarding/src/late-answer.ts
@@ -1,12 +1,12 @@
 /**
- * When a plain answer is late: an idempotent request then goes to a second server, and a server that
- * was given up without an answer is taken to hang.
+ * When a plain response is late: an idempotent request is then hedged to a second server, and a
+ * server that was abandoned without a response counts as hanging.
  */
 import type { Route } from '@lapisbridge/catalog';
 
-const OBJECTIVES = 1.5;
+const OBJECTIVE_MULTIPLE = 1.5;
 
-/** Milliseconds after which an answer is late. */
-export function lateMilliseconds({ objectiveMilliseconds }: Route): number {
-  return objectiveMilliseconds * OBJECTIVES;
+/** Milliseconds from the start of an attempt after which its response is late. */
+export function lateThresholdMilliseconds({ objectiveMilliseconds }: Route): number {
+  return objectiveMilliseconds * OBJECTIVE_MULTIPLE;
 }
--- a/packages/forwarding/src/late-body.test.ts
+++ b/packages/forwarding/src/late-body.test.ts
@@ -2,7 +2,7 @@
 
 import { afterEach, describe, expect, it } from 'vitest';
 
-import { answerWith, startFixture } from './forwarding-fixture.js';
+import { respondWith, startFixture } from './forwarding-fixture.js';
 import type { Fixture } from './forwarding-fixture.js';
 
 let fixture: Fixture | undefined;
@@ -11,10 +11,11 @@
   await fixture?.close();
 });
 
-describe('a request whose body comes after its head', () => {
-  it('is decided on the configuration that is in force when it is whole', async () => {
-    // Guards against an entry that shows a new configuration and then decides on the former one.
-    fixture = await startFixture({ servers: { one: answerWith('whole') } });
+describe('a request whose body arrives after its head', () => {
+  it('is admitted by the configuration in force when the request is complete', async () => {
+    // Guards against an entry that reports a new configuration as in force and then decides on the
+    // former one.
+    fixture = await startFixture({ servers: { one: respondWith('whole') } });
     const { catalog, port, arrivals } = fixture;
     const { configuration } = catalog.operators();
     if (configuration === undefined) throw new Error('the fixture has no configuration');
--- a/packages/forwarding/src/open-forward.ts
+++ b/packages/forwarding/src/open-forward.ts
@@ -1,43 +1,43 @@
 /**
- * Opens the exchange that carries one attempt at a request to a backend server.
+ * Opens the HTTP exchange of one attempt at a backend server.
  */
 import type { BackendServer } from '@lapisbridge/catalog';
 
 import { openExchange } from './exchange.js';
 import type { Exchange, ExchangeListener } from './exchange.js';
-import { remainingOf } from './forward-context.js';
+import { computeRemainingMilliseconds } from './forward-context.js';
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
 import { planPriority, urgencyOf } from './plan-priority.js';
 
-/** Time for a connection within a region: some round trips of a few milliseconds. */
-const CONNECT_MILLISECONDS = 300;
+/** Timeout for connecting within a region: some round trips of a few milliseconds. */
+const CONNECT_TIMEOUT_MILLISECONDS = 300;
 
 export interface ForwardAttempt {
   readonly context: ForwardContext;
   readonly accepted: AcceptedRequest;
   readonly server: BackendServer;
-  /** Event of a stream behind which the server is to go on. */
+  /** Id of the event after which the server is to resume a stream. */
   readonly lastEventId: number | undefined;
-  /** Whether the request was taken from a server that gave no sign of life. */
+  /** Whether the request was moved from a server that stopped responding. */
   readonly isMoved: boolean;
 }
 
-export function openForward(attempt: ForwardAttempt, listener: ExchangeListener): Exchange {
+export function openForwardExchange(attempt: ForwardAttempt, listener: ExchangeListener): Exchange {
   const { context, accepted, server, lastEventId, isMoved } = attempt;
   const { request, body } = accepted;
   const urgency = urgencyOf({
     route: accepted.route,
-    hasBegun: accepted.answer.hasBegun,
+    hasBegun: accepted.response.hasBegun,
     isMoved,
     isRetry: accepted.isRetry,
     idleMilliseconds: context.now() - accepted.arrivedAt,
   });
-  const headers = context.protocol.encodeForward({
+  const headers = context.protocol.encodeForwardHeaders({
     request,
     priority: planPriority(accepted.priority, urgency),
     server,
     account: accepted.account,
-    remainingMilliseconds: remainingOf(context, accepted),
+    remainingMilliseconds: computeRemainingMilliseconds(context, accepted),
     lastEventId,
     bodyBytes: body.length,
   });
@@ -48,7 +48,7 @@
     target: request.target,
     headers,
     body,
-    connectMilliseconds: CONNECT_MILLISECONDS,
+    connectTimeoutMilliseconds: CONNECT_TIMEOUT_MILLISECONDS,
   };
   return openExchange(options, listener);
 }
--- a/packages/forwarding/src/plain-attempt.ts
+++ b/packages/forwarding/src/plain-attempt.ts
@@ -1,42 +1,43 @@
 /**
- * One attempt at a request whose answer is passed on as a whole. The answer is held until it
- * is complete, so that one that breaks off can still be repeated where the request allows it.
+ * One attempt at a request whose response is forwarded as a whole. The response is buffered until
+ * it is complete, so that a truncated one can still be retried where the request allows it.
  */
 import type { BackendServer } from '@lapisbridge/catalog';
 
-import type { AnswerHead } from './caller-protocol.js';
-import { describeRefusal, doubtHead, provesNotRun } from './answer-head.js';
+import type { ResponseHead } from './caller-protocol.js';
+import { describeRefusal, findHeadFault, provesNotRun } from './response-head.js';
 import { ExchangeEndKind } from './exchange.js';
 import type { Exchange, ExchangeEnd } from './exchange.js';
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
-import { openForward } from './open-forward.js';
-import { lateMilliseconds } from './late-answer.js';
+import { openForwardExchange } from './open-forward.js';
+import { lateThresholdMilliseconds } from './late-answer.js';
 import { OutcomeKind } from './outcome.js';
 import type { Outcome } from './outcome.js';
 import { verdictOfRefusal, Verdict } from './server-load-tracker.js';
 
-export interface RunningAttempt {
+export interface PlainAttempt {
   readonly server: BackendServer;
   readonly outcome: Promise<Outcome>;
   cancel(reason: string): void;
 }
 
-/** Largest answer that is held; beyond it the backend server is taken to be at fault. */
-const MAXIMUM_ANSWER_BYTES = 8 * 1024 * 1024;
-function judge(
+/** Largest response that is buffered; a larger one counts as a fault of the backend server. */
+const MAXIMUM_RESPONSE_BYTES = 8 * 1024 * 1024;
+
+function toOutcome(
   end: ExchangeEnd,
-  head: AnswerHead | undefined,
+  head: ResponseHead | undefined,
   body: Buffer,
   requestId: string,
 ): Outcome {
   switch (end.kind) {
     case ExchangeEndKind.NotSent:
       return { kind: OutcomeKind.NotRun, reason: end.reason, wasRefused: false };
-    case ExchangeEndKind.Broken:
+    case ExchangeEndKind.Incomplete:
     case ExchangeEndKind.Cancelled:
       return { kind: OutcomeKind.Unknown, reason: end.reason };
     case ExchangeEndKind.Complete: {
-      if (head === undefined) return { kind: OutcomeKind.Unknown, reason: 'no head' };
+      if (head === undefined) return { kind: OutcomeKind.Unknown, reason: 'no response head' };
       if (provesNotRun(head)) {
         return {
           kind: OutcomeKind.NotRun,
@@ -44,8 +45,8 @@
           wasRefused: !head.isMisdirected,
         };
       }
-      const doubt = doubtHead(head, requestId);
-      if (doubt !== undefined) return { kind: OutcomeKind.Unknown, reason: doubt };
+      const headFault = findHeadFault(head, requestId);
+      if (headFault !== undefined) return { kind: OutcomeKind.Unknown, reason: headFault };
       return { kind: OutcomeKind.Answered, head, body };
     }
     default: {
@@ -55,13 +56,13 @@
   }
 }
 
-/** `hasRoom`: whether the server has a free slot. */
-function verdictOf(outcome: Outcome, hasRoom: boolean): Verdict {
+/** What an outcome says about the server; `hasFreeSlot` decides what a refusal says. */
+function classifyOutcome(outcome: Outcome, hasFreeSlot: boolean): Verdict {
   switch (outcome.kind) {
     case OutcomeKind.Answered:
       return outcome.head.status < 500 ? Verdict.Healthy : Verdict.Failing;
     case OutcomeKind.NotRun:
-      return outcome.wasRefused ? verdictOfRefusal(hasRoom) : Verdict.Failing;
+      return outcome.wasRefused ? verdictOfRefusal(hasFreeSlot) : Verdict.Failing;
     case OutcomeKind.Unknown:
       return Verdict.Failing;
     default: {
@@ -75,19 +76,22 @@
   context: ForwardContext,
   accepted: AcceptedRequest,
   server: BackendServer,
-): RunningAttempt {
+): PlainAttempt {
   const { ledger, liveness, protocol } = context;
   const { request, requestId } = accepted;
   const startedAt = context.now();
-  let head: AnswerHead | undefined;
+  let head: ResponseHead | undefined;
   const chunks: Buffer[] = [];
-  let size = 0;
+  let responseBytes = 0;
   let exchange: Exchange | undefined;
 
-  /** A server that hangs is told from a sound one by the time that it was given. */
-  function verdictOfCancelled(): Verdict {
+  /**
+   * What a cancelled attempt says about the server. Only the time it was given tells a hanging
+   * server from a healthy one.
+   */
+  function classifyCancelled(): Verdict {
     if (head !== undefined) return Verdict.Healthy;
-    const isLate = context.now() - startedAt >= lateMilliseconds(accepted.route);
+    const isLate = context.now() - startedAt >= lateThresholdMilliseconds(accepted.route);
     return isLate ? Verdict.Failing : Verdict.Inconclusive;
   }
 
@@ -95,31 +99,31 @@
   context.coldShare.recordSent(server.instanceId);
   context.statements.recordSent(server.instanceId);
   const outcome = new Promise<Outcome>((resolve) => {
-    exchange = openForward(
+    exchange = openForwardExchange(
       { context, accepted, server, lastEventId: request.lastEventId, isMoved: false },
       {
         onHead(incoming) {
           liveness.recordContact(server.instanceId);
-          head = protocol.decodeAnswer(incoming);
+          head = protocol.decodeResponseHead(incoming);
           if (head.load !== undefined) ledger.recordReport(server.instanceId, head.load);
           context.statements.onAnswer({ server, head, requestId, sentAt: startedAt });
         },
         onData(chunk) {
-          size += chunk.length;
-          if (size > MAXIMUM_ANSWER_BYTES) exchange?.cancel('answer too large');
+          responseBytes += chunk.length;
+          if (responseBytes > MAXIMUM_RESPONSE_BYTES) exchange?.cancel('response too large');
           else chunks.push(chunk);
         },
         onEnd(end) {
-          const judged = judge(end, head, Buffer.concat(chunks), requestId);
+          const attemptOutcome = toOutcome(end, head, Buffer.concat(chunks), requestId);
           const isCancelled = end.kind === ExchangeEndKind.Cancelled;
           if (isCancelled && head === undefined) context.metrics.countUnansweredSend();
-          const wasAnswered = judged.kind === OutcomeKind.Answered;
+          const wasAnswered = attemptOutcome.kind === OutcomeKind.Answered;
           if (wasAnswered) ledger.recordAnswer(server.instanceId, context.now() - startedAt, 0);
           const verdict = isCancelled
-            ? verdictOfCancelled()
-            : verdictOf(judged, ledger.hasFreeSlot(server));
+            ? classifyCancelled()
+            : classifyOutcome(attemptOutcome, ledger.hasFreeSlot(server));
           ledger.recordEnd(server.instanceId, verdict, 0, wasAnswered);
-          resolve(judged);
+          resolve(attemptOutcome);
         },
       },
     );
--- a/packages/forwarding/src/plan-wait.ts
+++ b/packages/forwarding/src/plan-wait.ts
@@ -6,7 +6,7 @@
  */
 import type { Route } from '@lapisbridge/catalog';
 
-import { planReplyMargin } from './reply-margin.js';
+import { computeReplyMargin } from './reply-margin.js';
 
 /**
  * Callers leave a stream after the longest of three times: this one, a number of latency
@@ -50,7 +50,7 @@
  */
 export function planEventTimeout(route: Route): number {
   const patience = callerPatienceMilliseconds(route);
-  return patience - planReplyMargin(patience);
+  return patience - computeReplyMargin(patience);
 }
 
 /**
--- a/packages/forwarding/src/serve-stream.ts
+++ b/packages/forwarding/src/serve-stream.ts
@@ -1,34 +1,34 @@
 /**
- * Serves a stream of events. When its backend server fails in the middle, a stream that may be
- * continued goes on at another server behind the last event the caller has; any other one is
- * broken off visibly, so that the caller never takes a part for the whole.
+ * Serves a stream of events. When its backend server fails midway, a resumable stream continues at
+ * another server after the last event that the caller received. Any other stream is visibly
+ * aborted, so that the caller never takes a partial stream for a complete one.
  */
 import type { BackendServer } from '@lapisbridge/catalog';
 import type { ServerView } from '@lapisbridge/routing';
 
 import { chooseServer } from './choose-server.js';
-import { remainingOf, startProgress } from './forward-context.js';
+import { computeRemainingMilliseconds, createProgress } from './forward-context.js';
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
-import { EndKind, noteOutcome } from './note-outcome.js';
+import { logRequestEnd, RequestEndKind } from './request-end.js';
 import { describeOutcome, OutcomeKind, proveNotRun } from './outcome.js';
 import type { Outcome } from './outcome.js';
-import { fail, refuse } from './own-answer.js';
+import { failRequest, refuseRequest } from './local-reply.js';
 import { canAdmitStream } from './plan-queue-admission.js';
 import { planRefusalCause, RefusalCause } from './plan-retry-after.js';
 import { planEventTimeout } from './plan-wait.js';
 import { roundedOrNone } from './rounded-or-none.js';
-import { DelayKind, delayOf, REFUSAL_OF, waitOut } from './stream-delay.js';
-import type { Delay } from './stream-delay.js';
+import { DelayKind, REFUSAL_CAUSE_BY_DELAY, toStreamDelay, waitForServer } from './stream-delay.js';
+import type { StreamDelay } from './stream-delay.js';
 import { startStreamAttempt, StreamEndKind } from './stream-attempt.js';
 import type { StreamAttempt, StreamEnd } from './stream-attempt.js';
 import { createStreamRecord } from './stream-record.js';
 import { watchForStall } from './stall-watch.js';
 
-/** Sends of one stream before its service is taken to be full. */
+/** Maximum sends of one stream before its service counts as full. */
 const MAXIMUM_SENDS = 3;
 
-/** Between two looks at a stream that is overdue. */
-const RECHECK_MILLISECONDS = 20;
+/** Interval between checks of a stream whose next event is overdue. */
+const OVERDUE_CHECK_INTERVAL_MILLISECONDS = 20;
 
 enum StartKind {
   Started = 'started',
@@ -36,24 +36,27 @@
   None = 'none',
 }
 
-type Start =
+type StartResult =
   | {
       readonly kind: StartKind.Started;
       readonly server: BackendServer;
       readonly attempt: StreamAttempt;
     }
-  | { readonly kind: StartKind.Delayed; readonly delay: Delay }
+  | { readonly kind: StartKind.Delayed; readonly delay: StreamDelay }
   | { readonly kind: StartKind.None; readonly cause: RefusalCause };
 
 interface StreamState {
-  /** Sends refused since the server's group stood still: they say nothing of the service's load. */
+  /**
+   * Sends refused because the server's lock-step group was down; they say nothing about the
+   * service's load.
+   */
   groupRefusals: number;
-  /** Why its time is up; undefined while it is not. */
+  /** Cause of the timeout; undefined while the stream has not timed out. */
   timeout: RefusalCause | undefined;
-  /** Taken from a server that gave no sign of life, before its first event. */
+  /** Whether the stream was moved from a server that stopped responding. */
   isMoved: boolean;
-  current: StreamAttempt | undefined;
-  /** Where the current attempt is, or the latest was. */
+  currentAttempt: StreamAttempt | undefined;
+  /** Server of the current or the latest attempt. */
   server: BackendServer | undefined;
 }
 
@@ -65,7 +68,7 @@
       return { kind: OutcomeKind.Answered, head: end.head, body: end.body };
     case StreamEndKind.NotRun:
       return { kind: OutcomeKind.NotRun, reason: end.reason, wasRefused: end.wasRefused };
-    case StreamEndKind.Broken:
+    case StreamEndKind.Incomplete:
       return { kind: OutcomeKind.Unknown, reason: end.reason };
     default: {
       const unreachable: never = end;
@@ -74,51 +77,56 @@
   }
 }
 
-/** Serves one stream to its end. */
+/** Serves one stream until it is complete or has failed, or its caller has disconnected. */
 export async function serveStream(
   context: ForwardContext,
   accepted: AcceptedRequest,
 ): Promise<void> {
-  const { answer, route, service } = accepted;
-  const progress = startProgress();
+  const { response, route, service } = accepted;
+  const progress = createProgress();
   const record = createStreamRecord(context, accepted);
   const state: StreamState = {
     groupRefusals: 0,
     timeout: undefined,
     isMoved: false,
-    current: undefined,
+    currentAttempt: undefined,
     server: undefined,
   };
 
-  function causeOf(): RefusalCause {
+  function causeWithoutServer(): RefusalCause {
     return progress.sends > 0 ? RefusalCause.Full : RefusalCause.NoServer;
   }
 
-  /** Whether a server can begin the stream in time. */
-  function fits({ slots, expected, reportAge, typicalMilliseconds }: ServerView): boolean {
+  /** Whether the server can begin the stream in time for its caller. */
+  function canStartInTime({
+    slots,
+    expected,
+    reportAge,
+    typicalMilliseconds,
+  }: ServerView): boolean {
     return canAdmitStream({
       route,
       slots,
       expectedStreams: expected,
       typicalMilliseconds,
       reportAge,
-      hasBegun: answer.hasBegun,
+      hasBegun: response.hasBegun,
       isMoved: state.isMoved,
       isRetry: accepted.isRetry,
       idleMilliseconds: record.idleMilliseconds(),
     });
   }
 
-  /** Starts one more attempt, or says why none can be started. */
-  function startNext(): Start {
+  /** Starts one more attempt, or returns why none can be started. */
+  function startNextAttempt(): StartResult {
     if (state.timeout !== undefined) return { kind: StartKind.None, cause: state.timeout };
     if (progress.sends - state.groupRefusals >= MAXIMUM_SENDS) {
       return { kind: StartKind.None, cause: RefusalCause.Full };
     }
-    const { choice, server } = chooseServer(context, accepted, progress, fits);
-    const delay = delayOf(context, choice);
+    const { choice, server } = chooseServer(context, accepted, progress, canStartInTime);
+    const delay = toStreamDelay(context, choice);
     if (delay !== undefined) return { kind: StartKind.Delayed, delay };
-    if (server === undefined) return { kind: StartKind.None, cause: causeOf() };
+    if (server === undefined) return { kind: StartKind.None, cause: causeWithoutServer() };
     if (progress.sends > 0 && !context.retryShare.trySpend(service)) {
       return { kind: StartKind.None, cause: RefusalCause.BudgetSpent };
     }
@@ -126,21 +134,21 @@
     progress.runs += 1;
     progress.tried.add(server.instanceId);
     const attempt = startStreamAttempt(context, accepted, server, record.sink, state.isMoved);
-    state.current = attempt;
+    state.currentAttempt = attempt;
     state.server = server;
     return { kind: StartKind.Started, server, attempt };
   }
 
-  function mayContinue(): boolean {
+  function canResume(): boolean {
     return route.resumable && progress.runs < route.maximumAttempts;
   }
 
-  function noteMiss(server: BackendServer, end: StreamEnd): void {
+  function logFailedAttempt(server: BackendServer, end: StreamEnd): void {
     context.logger.decision({
       kind: 'attempt',
       subject: accepted.requestId,
       choice: server.instanceId,
-      reason: 'reason' in end ? end.reason : 'whole answer',
+      reason: 'reason' in end ? end.reason : 'complete response',
       facts: {
         ...record.facts(),
         silence: roundedOrNone(context.liveness.silenceMilliseconds(server.instanceId)),
@@ -151,11 +159,11 @@
     });
   }
 
-  function noteAnswer(server: BackendServer, status: number): void {
-    noteOutcome(context, accepted, {
-      kind: EndKind.Answer,
+  function logResponse(server: BackendServer, status: number): void {
+    logRequestEnd(context, accepted, {
+      kind: RequestEndKind.Response,
       choice: server.instanceId,
-      reason: 'whole answer',
+      reason: 'complete response',
       facts: {
         ...record.facts(),
         sends: progress.sends,
@@ -170,8 +178,11 @@
     return engine !== undefined && engine.sets > 0 && context.pulse.hasServiceStalled(service);
   }
 
-  /** Milliseconds until the stream is likely to be served; undefined where nothing tells. */
-  function likelyOf(cause: RefusalCause, delay: Delay | undefined): number | undefined {
+  /** Milliseconds until the stream is expected to be served; undefined when unknown. */
+  function estimateWaitMilliseconds(
+    cause: RefusalCause,
+    delay: StreamDelay | undefined,
+  ): number | undefined {
     if (cause === RefusalCause.GroupBroken) {
       const isBroken = delay?.kind === DelayKind.GroupBroken;
       return context.groupHealth.likelyReturnMilliseconds(
@@ -181,56 +192,69 @@
     return delay?.kind === DelayKind.BackingOff ? delay.roomInMilliseconds : undefined;
   }
 
-  /** `delay` is what kept the stream from being sent at last. */
-  function conclude(cause: RefusalCause, delay?: Delay): void {
+  /** Ends the stream with a refusal or a failure. `delay` is what prevented the last send. */
+  function conclude(cause: RefusalCause, delay?: StreamDelay): void {
     const reason = progress.outcomes.map(describeOutcome).join('; ') || cause;
-    const proof = answer.hasBegun ? undefined : proveNotRun(progress.outcomes, reason);
+    const proof = response.hasBegun ? undefined : proveNotRun(progress.outcomes, reason);
     if (proof === undefined) {
-      fail(context, accepted, reason, state.timeout !== undefined);
+      failRequest(context, accepted, reason, state.timeout !== undefined);
       return;
     }
-    const likelyCause = planRefusalCause(cause, hasGroupStopped());
-    refuse(context, accepted, likelyCause, proof, likelyOf(likelyCause, delay));
+    const reportedCause = planRefusalCause(cause, hasGroupStopped());
+    refuseRequest(
+      context,
+      accepted,
+      reportedCause,
+      proof,
+      estimateWaitMilliseconds(reportedCause, delay),
+    );
   }
 
   function timeOut(cause: RefusalCause, reason: string): void {
     state.timeout = cause;
-    state.current?.cancel(reason);
+    state.currentAttempt?.cancel(reason);
   }
 
-  /** A stream that has begun may still go on at a server that is there, up to its last moment. */
-  function mayTimeOut(): boolean {
-    if (!answer.hasBegun || state.isMoved) return true;
+  /** A stream that has begun may continue at a responsive server until the request expires. */
+  function canTimeOut(): boolean {
+    if (!response.hasBegun || state.isMoved) return true;
     return state.server !== undefined && context.liveness.isSilent(state.server);
   }
 
-  function watchPauses(): void {
-    const left = planEventTimeout(route) - record.idleMilliseconds();
-    if (left <= 0 && mayTimeOut())
-      timeOut(RefusalCause.Crowded, 'no event before its caller leaves');
-    else eventTimeout = setTimeout(watchPauses, Math.max(left, RECHECK_MILLISECONDS));
+  function watchEventGaps(): void {
+    const remainingMilliseconds = planEventTimeout(route) - record.idleMilliseconds();
+    if (remainingMilliseconds <= 0 && canTimeOut())
+      timeOut(RefusalCause.Crowded, 'no event within the time that the caller waits');
+    else
+      eventTimeout = setTimeout(
+        watchEventGaps,
+        Math.max(remainingMilliseconds, OVERDUE_CHECK_INTERVAL_MILLISECONDS),
+      );
   }
 
-  answer.onGone(() => state.current?.cancel('caller gone'));
+  response.onDisconnect(() => state.currentAttempt?.cancel('caller disconnected'));
   const expiry = setTimeout(
-    () => timeOut(RefusalCause.Expired, 'time is up'),
-    remainingOf(context, accepted),
+    () => timeOut(RefusalCause.Expired, 'request expired'),
+    computeRemainingMilliseconds(context, accepted),
   );
   let eventTimeout: NodeJS.Timeout | undefined;
-  watchPauses();
+  watchEventGaps();
   try {
     for (;;) {
-      if (answer.isOver) return;
-      const start = startNext();
+      if (response.isEnded) return;
+      const start = startNextAttempt();
       if (start.kind === StartKind.Delayed) {
         const { delay } = start;
-        const waited = { idleMilliseconds: record.idleMilliseconds(), isMoved: state.isMoved };
-        const isOver = !(await waitOut(context, accepted, delay, waited));
-        if (isOver || state.timeout !== undefined) {
-          conclude(REFUSAL_OF[delay.kind], delay);
+        const waitSituation = {
+          idleMilliseconds: record.idleMilliseconds(),
+          isMoved: state.isMoved,
+        };
+        const mustGiveUp = !(await waitForServer(context, accepted, delay, waitSituation));
+        if (mustGiveUp || state.timeout !== undefined) {
+          conclude(REFUSAL_CAUSE_BY_DELAY[delay.kind], delay);
           return;
         }
-        // Ranks that refused for their group may run again.
+        // Ranks that refused because of their group may accept requests again.
         if (delay.kind === DelayKind.GroupBroken) progress.tried.clear();
         continue;
       }
@@ -246,25 +270,25 @@
         server,
         attempt,
         idleMilliseconds,
-        mayContinue,
+        mayContinue: canResume,
       });
-      state.current = undefined;
-      if (end.kind !== StreamEndKind.Complete) noteMiss(server, end);
+      state.currentAttempt = undefined;
+      if (end.kind !== StreamEndKind.Complete) logFailedAttempt(server, end);
       state.isMoved ||= context.liveness.isSilent(server);
-      if (answer.isOver) return;
+      if (response.isEnded) return;
       progress.outcomes.push(toOutcome(end));
       switch (end.kind) {
         case StreamEndKind.Complete:
-          noteAnswer(server, answer.status);
-          answer.finish();
+          logResponse(server, response.status);
+          response.finish();
           return;
         case StreamEndKind.Answered:
-          if (answer.hasBegun) {
+          if (response.hasBegun) {
             conclude(RefusalCause.Full);
             return;
           }
-          noteAnswer(server, end.head.status);
-          answer.send(end.head.status, end.head.headers, end.body);
+          logResponse(server, end.head.status);
+          response.send(end.head.status, end.head.headers, end.body);
           return;
         case StreamEndKind.NotRun:
           progress.runs -= 1;
@@ -273,8 +297,8 @@
             context.groupHealth.recordRefusal(server);
           }
           break;
-        case StreamEndKind.Broken:
-          if (state.timeout !== undefined || !mayContinue()) {
+        case StreamEndKind.Incomplete:
+          if (state.timeout !== undefined || !canResume()) {
             conclude(state.timeout ?? RefusalCause.Expired);
             return;
           }
--- a/packages/forwarding/src/server-backoffs.ts
+++ b/packages/forwarding/src/server-backoffs.ts
@@ -5,12 +5,12 @@
 import type { Logger } from '@lapisbridge/logger';
 
 import { RetryAfterKind } from './caller-protocol.js';
-import type { AnswerHead } from './caller-protocol.js';
+import type { ResponseHead } from './caller-protocol.js';
 import type { ActiveStatement } from './active-statement.js';
 
 export interface ServerBackoffs {
   /** Processes the head of an answer, which must come from the server itself. */
-  onAnswer(instanceId: string, head: AnswerHead): void;
+  onAnswer(instanceId: string, head: ResponseHead): void;
   /** Milliseconds until requests may be sent to the server again; 0 if they may be sent now. */
   remainingMilliseconds(instanceId: string): number;
   recordSent(instanceId: string): void;
@@ -46,7 +46,7 @@
       switch (retryAfter.kind) {
         case RetryAfterKind.None:
           return;
-        case RetryAfterKind.Unreadable:
+        case RetryAfterKind.Malformed:
           logger.warn('server backoff unreadable', { server: instanceId });
           return;
         case RetryAfterKind.Stated:
--- a/packages/forwarding/src/server-departures.ts
+++ b/packages/forwarding/src/server-departures.ts
@@ -6,12 +6,12 @@
 import type { BackendServer } from '@lapisbridge/catalog';
 import type { Logger } from '@lapisbridge/logger';
 
-import type { AnswerHead } from './caller-protocol.js';
+import type { ResponseHead } from './caller-protocol.js';
 import type { ActiveStatement } from './active-statement.js';
 
 export interface ServerDepartures {
   /** Processes the head of an answer, which must come from the server itself. */
-  onAnswer(server: BackendServer, head: AnswerHead): void;
+  onAnswer(server: BackendServer, head: ResponseHead): void;
   isLeaving(server: BackendServer): boolean;
   /** Leaving servers, except those that are missing from the list. */
   list(): ActiveStatement[];
--- a/packages/forwarding/src/server-rate-limits.ts
+++ b/packages/forwarding/src/server-rate-limits.ts
@@ -5,9 +5,9 @@
  */
 import type { Logger } from '@lapisbridge/logger';
 
-import { isSuccess } from './answer-head.js';
+import { isSuccess } from './response-head.js';
 import { RateLimitKind } from './caller-protocol.js';
-import type { AnswerHead } from './caller-protocol.js';
+import type { ResponseHead } from './caller-protocol.js';
 import { planRateLimitDelay } from './plan-rate-limit-delay.js';
 import { createSenderRanks } from './sender-rank.js';
 import type { SendingEntries } from './sender-rank.js';
@@ -24,7 +24,7 @@
 /** One answer, which must come from the server itself. */
 export interface RateLimitedAnswer {
   readonly instanceId: string;
-  readonly head: AnswerHead;
+  readonly head: ResponseHead;
   /** When the answered request was sent. */
   readonly sentAt: number;
 }
@@ -128,7 +128,7 @@
           applyStatement(instanceId, undefined, now(), StatementSource.Answer);
           return;
         }
-        case RateLimitKind.Unreadable:
+        case RateLimitKind.Malformed:
           logger.warn('server rate limit unreadable', { server: instanceId });
           return;
         default: {
--- a/packages/forwarding/src/server-statements.ts
+++ b/packages/forwarding/src/server-statements.ts
@@ -5,8 +5,8 @@
  */
 import type { BackendServer } from '@lapisbridge/catalog';
 
-import { speaksForServer } from './answer-head.js';
-import type { AnswerHead } from './caller-protocol.js';
+import { isFromAddressedServer } from './response-head.js';
+import type { ResponseHead } from './caller-protocol.js';
 import type { ServerBackoffs } from './server-backoffs.js';
 import type { ServerDepartures } from './server-departures.js';
 import type { ServerRateLimits } from './server-rate-limits.js';
@@ -14,7 +14,7 @@
 /** One answer of a server. */
 export interface ServerAnswer {
   readonly server: BackendServer;
-  readonly head: AnswerHead;
+  readonly head: ResponseHead;
   /** Id of the answered request, and when it was sent. */
   readonly requestId: string;
   readonly sentAt: number;
@@ -54,7 +54,7 @@
 
   return {
     onAnswer({ server, head, requestId, sentAt }) {
-      if (!speaksForServer(head, requestId)) return;
+      if (!isFromAddressedServer(head, requestId)) return;
       const { instanceId } = server;
       rateLimits.onAnswer({ instanceId, head, sentAt });
       backoffs.onAnswer(instanceId, head);
--- a/packages/forwarding/src/silent-server.test.ts
+++ b/packages/forwarding/src/silent-server.test.ts
@@ -8,7 +8,7 @@
 import { afterEach, beforeEach, expect, it } from 'vitest';
 
 import { startFixture, streamEvents } from './forwarding-fixture.js';
-import type { Fixture, Script } from './forwarding-fixture.js';
+import type { BackendHandler, Fixture } from './forwarding-fixture.js';
 import { callerPatienceMilliseconds } from './plan-wait.js';
 import { STREAM_ROUTE } from './stream-route-fixture.js';
 
@@ -22,7 +22,7 @@
 const ALL_EVENTS = [1, 2, 3, 4, 5, 6].map((id) => `id: ${id}\ndata: ${id}\n\n`).join('');
 
 /** Sends some events and then nothing more. */
-function sendEventsThenStall(count: number): Script {
+function sendEventsThenStall(count: number): BackendHandler {
   return (incoming, response) => {
     if (count === 0) return;
     response.writeHead(200, {
@@ -34,7 +34,7 @@
   };
 }
 
-async function start(one: Script, two: Script): Promise<void> {
+async function start(one: BackendHandler, two: BackendHandler): Promise<void> {
   fixture = await startFixture({
     servers: { one, two, three: streamEvents(EVENTS) },
     groups: Object.fromEntries(
@@ -125,7 +125,7 @@
 
 it('leaves a started stream at a server that reports, for as long as its caller waits', async () => {
   // Guards against aborting an answer although its server is up.
-  const pausing: Script = (incoming, response) => {
+  const pausing: BackendHandler = (incoming, response) => {
     sendEventsThenStall(3)(incoming, response);
     setTimeout(
       () => response.end('id: 4\ndata: 4\n\n'),
--- a/packages/forwarding/src/stall-watch.ts
+++ b/packages/forwarding/src/stall-watch.ts
@@ -25,12 +25,12 @@
 function isStalled({ context, accepted, server, idleMilliseconds }: StallWatchOptions): boolean {
   const isSilent = context.liveness.isSilent(server);
   // A stream that has not started loses only its position in a queue that does not advance.
-  if (isSilent && !accepted.answer.hasBegun) return true;
+  if (isSilent && !accepted.response.hasBegun) return true;
   if (idleMilliseconds() < SILENCE_MILLISECONDS) return false;
   if (isSilent) return true;
   // While requests are queued, silence does not indicate a fault, and a stream that is moved to the
   // end of another queue loses its position.
-  const isWaiting = !accepted.answer.hasBegun && context.ledger.isQueueing(server.instanceId);
+  const isWaiting = !accepted.response.hasBegun && context.ledger.isQueueing(server.instanceId);
   if (isWaiting) return false;
   return context.pulse.isStalled(accepted.service, server.instanceId, SILENCE_MILLISECONDS);
 }
--- a/packages/forwarding/src/stalled-process.test.ts
+++ b/packages/forwarding/src/stalled-process.test.ts
@@ -5,7 +5,7 @@
 import { afterEach, expect, it } from 'vitest';
 
 import { sendRequest } from './caller-fixture.js';
-import { answerWith, startFixture } from './forwarding-fixture.js';
+import { respondWith, startFixture } from './forwarding-fixture.js';
 import type { Fixture } from './forwarding-fixture.js';
 
 /** Longer than connecting may take. */
@@ -24,7 +24,7 @@
   // Guards against refusing callers, with servers free, whenever the event loop of an entry is
   // blocked.
   fixture = await startFixture({
-    servers: { one: answerWith('whole') },
+    servers: { one: respondWith('whole') },
     route: { kind: RequestKind.Idempotent, objectiveMilliseconds: 60_000 },
   });
   const { logger } = fixture;
--- a/packages/forwarding/src/stream-delay.ts
+++ b/packages/forwarding/src/stream-delay.ts
@@ -1,40 +1,46 @@
 /**
- * What keeps a stream from being sent to a server just now, and how long it is kept for that.
+ * Determines why a stream cannot be sent to a server at the moment, and how long it is held.
  */
 import { sleep } from '@lapisbridge/kernel';
 import { ServerChoiceKind } from '@lapisbridge/routing';
 import type { ServerChoice } from '@lapisbridge/routing';
 
-import { remainingOf } from './forward-context.js';
+import { computeRemainingMilliseconds } from './forward-context.js';
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
 import { planRecheckDelay } from './plan-queue-admission.js';
 import { RefusalCause } from './plan-retry-after.js';
 import { planRoomWait, planGroupWait } from './plan-wait.js';
 
 export enum DelayKind {
-  /** The lock-step groups of all servers stand still. */
+  /** The lock-step groups of all servers are down. */
   GroupBroken = 'groupBroken',
-  /** Every slot is taken, and a place in a queue would be too late. */
+  /** Every slot is taken, and a queued stream would begin too late. */
   Crowded = 'crowded',
-  /** Every server has had this entry's share for now. */
+  /** This entry's share of the limits of every server is used up for now. */
   Limited = 'limited',
-  /** Every server has asked to be sent nothing for now. */
+  /** Every server has asked for a backoff. */
   BackingOff = 'backingOff',
 }
 
-export type Delay =
+export type StreamDelay =
   | {
       readonly kind: DelayKind.GroupBroken;
       readonly brokenForMilliseconds: number;
-      /** Chance that the group runs again within so many milliseconds. */
+      /** Probability that the group runs again within this many milliseconds. */
       chanceOfReturn(withinMilliseconds: number): number;
     }
   | { readonly kind: DelayKind.Crowded }
   | { readonly kind: DelayKind.Limited; readonly roomInMilliseconds: number }
   | { readonly kind: DelayKind.BackingOff; readonly roomInMilliseconds: number };
 
-/** What keeps a stream from being sent now; undefined where a server was chosen or none is left. */
-export function delayOf(context: ForwardContext, choice: ServerChoice): Delay | undefined {
+/**
+ * Returns what prevents a stream from being sent now; undefined when a server was chosen or none
+ * is left.
+ */
+export function toStreamDelay(
+  context: ForwardContext,
+  choice: ServerChoice,
+): StreamDelay | undefined {
   switch (choice.kind) {
     case ServerChoiceKind.AllBroken: {
       const { brokenForMilliseconds } = choice;
@@ -61,32 +67,32 @@
   }
 }
 
-/** Why a caller is refused whose stream is not kept any longer. */
-export const REFUSAL_OF: Readonly<Record<DelayKind, RefusalCause>> = {
+/** Cause with which a caller is refused when its stream is no longer held. */
+export const REFUSAL_CAUSE_BY_DELAY: Readonly<Record<DelayKind, RefusalCause>> = {
   [DelayKind.GroupBroken]: RefusalCause.GroupBroken,
   [DelayKind.Crowded]: RefusalCause.Crowded,
   [DelayKind.Limited]: RefusalCause.Full,
   [DelayKind.BackingOff]: RefusalCause.BackingOff,
 };
 
-const REASON_OF: Readonly<Record<DelayKind, string>> = {
-  [DelayKind.GroupBroken]: 'its group stands still',
+const REASON_BY_DELAY: Readonly<Record<DelayKind, string>> = {
+  [DelayKind.GroupBroken]: 'the lock-step group is down',
   [DelayKind.Crowded]: 'every slot is taken',
-  [DelayKind.Limited]: 'every server has had its share',
-  [DelayKind.BackingOff]: 'every server backs off',
+  [DelayKind.Limited]: 'limit share used up at every server',
+  [DelayKind.BackingOff]: 'backoff requested by every server',
 };
 
-/** Milliseconds for which the stream is kept; 0 when it has to be given up now. */
-function planDelay(
+/** Milliseconds for which the stream is held; 0 when it has to be refused now. */
+function computeWait(
   { route, isRetry }: AcceptedRequest,
-  delay: Delay,
-  situation: Situation,
+  delay: StreamDelay,
+  situation: WaitSituation,
 ): number {
   switch (delay.kind) {
     case DelayKind.GroupBroken:
       return planGroupWait({ ...situation, ...delay, route, isRetry });
     case DelayKind.Crowded:
-      // It has lost too much of its caller's patience to wait for room once more.
+      // The caller of a moved stream has waited too long already to wait for a free slot again.
       return situation.isMoved ? 0 : planRecheckDelay({ ...situation, route, isRetry });
     case DelayKind.Limited:
     case DelayKind.BackingOff:
@@ -98,8 +104,8 @@
   }
 }
 
-/** What decided, for the log. */
-function factsOf(delay: Delay, wait: number): Readonly<Record<string, number>> {
+/** Log fields that explain the decision. */
+function delayFacts(delay: StreamDelay, wait: number): Readonly<Record<string, number>> {
   switch (delay.kind) {
     case DelayKind.GroupBroken:
       return {
@@ -118,43 +124,46 @@
   }
 }
 
-interface Situation {
-  /** Since the request arrived, or since its caller's last event. */
+interface WaitSituation {
+  /** Since the request arrived, or since the last event that its caller received. */
   readonly idleMilliseconds: number;
   readonly remainingMilliseconds: number;
-  /** Whether the caller has had events. */
+  /** Whether the caller has received events. */
   readonly hasBegun: boolean;
-  /** Whether it was taken from a server that gave no sign of life. */
+  /** Whether the stream was moved from a server that stopped responding. */
   readonly isMoved: boolean;
 }
 
-/** Waits until a server may take the stream; false when its caller is to be told instead. */
-export async function waitOut(
+/**
+ * Waits until a server may accept the stream; resolves with false when the caller is to be refused
+ * instead.
+ */
+export async function waitForServer(
   context: ForwardContext,
   accepted: AcceptedRequest,
-  delay: Delay,
-  { idleMilliseconds, isMoved }: Pick<Situation, 'idleMilliseconds' | 'isMoved'>,
+  delay: StreamDelay,
+  { idleMilliseconds, isMoved }: Pick<WaitSituation, 'idleMilliseconds' | 'isMoved'>,
 ): Promise<boolean> {
   const situation = {
     idleMilliseconds,
     isMoved,
-    remainingMilliseconds: remainingOf(context, accepted),
-    hasBegun: accepted.answer.hasBegun,
+    remainingMilliseconds: computeRemainingMilliseconds(context, accepted),
+    hasBegun: accepted.response.hasBegun,
   };
-  const wait = planDelay(accepted, delay, situation);
+  const wait = computeWait(accepted, delay, situation);
   const { kind } = delay;
   context.logger.decision({
     kind: 'wait',
     subject: accepted.requestId,
     choice: wait === 0 ? 'give up' : 'keep',
-    reason: REASON_OF[kind],
+    reason: REASON_BY_DELAY[kind],
     facts: {
       longest: Math.round(wait),
       silence: Math.round(idleMilliseconds),
       remaining: situation.remainingMilliseconds,
       hasBegun: situation.hasBegun,
       isRetry: accepted.isRetry,
-      ...factsOf(delay, wait),
+      ...delayFacts(delay, wait),
     },
   });
   if (wait === 0) return false;
--- a/packages/forwarding/src/stream-record.ts
+++ b/packages/forwarding/src/stream-record.ts
@@ -1,26 +1,26 @@
 /**
- * What the caller of a stream has had so far, and when: over all attempts at the stream.
+ * Records which events the caller of a stream has received and when, over all attempts.
  */
 import { LatencyKind } from '@lapisbridge/metrics';
 
-import type { AnswerHead } from './caller-protocol.js';
+import type { ResponseHead } from './caller-protocol.js';
 import type { StreamEvent } from './event-splitter.js';
 import type { AcceptedRequest, ForwardContext } from './forward-context.js';
-import type { RequestEnd } from './note-outcome.js';
+import type { RequestEnd } from './request-end.js';
 import { roundedOrNone } from './rounded-or-none.js';
 import type { StreamSink } from './stream-attempt.js';
 
 export interface StreamRecord {
-  /** Passes events on to the caller and takes note of them. */
+  /** Forwards events to the caller and records them. */
   readonly sink: StreamSink;
   /**
-   * Milliseconds since the request arrived, or since its caller's last event; 0 while the caller
-   * does not take more.
+   * Milliseconds since the request arrived, or since the last event that its caller received; 0
+   * while the caller applies backpressure.
    */
   idleMilliseconds(): number;
-  /** Whether first event and pauses were as callers hope for. */
+  /** Whether the first event and the gaps between events met the route's objectives. */
   isOnTime(): boolean;
-  /** For the log. */
+  /** Log fields. */
   facts(): RequestEnd['facts'];
 }
 
@@ -28,19 +28,19 @@
   context: ForwardContext,
   accepted: AcceptedRequest,
 ): StreamRecord {
-  const { answer, route, request, arrivedAt } = accepted;
+  const { response, route, request, arrivedAt } = accepted;
   let { lastEventId } = request;
   let lastEventAt = context.now();
-  let isBackedUp = false;
+  let isBackpressured = false;
   let firstEventMilliseconds: number | undefined;
   let longestPauseMilliseconds = 0;
 
-  function noteEvent(head: AnswerHead): void {
+  function recordEvent(head: ResponseHead): void {
     const at = context.now();
-    if (answer.hasBegun) {
+    if (response.hasBegun) {
       longestPauseMilliseconds = Math.max(longestPauseMilliseconds, at - lastEventAt);
     } else {
-      answer.begin(head.status, head.headers);
+      response.begin(head.status, head.headers);
       firstEventMilliseconds = at - arrivedAt;
       context.metrics.observe(LatencyKind.FirstEvent, firstEventMilliseconds);
     }
@@ -50,21 +50,21 @@
   return {
     sink: {
       lastEventId: () => lastEventId,
-      onEvent(head: AnswerHead, event: StreamEvent) {
-        noteEvent(head);
+      onEvent(head: ResponseHead, event: StreamEvent) {
+        recordEvent(head);
         lastEventId = event.id ?? lastEventId;
-        isBackedUp = !answer.write(event.bytes);
-        return !isBackedUp;
+        isBackpressured = !response.write(event.bytes);
+        return !isBackpressured;
       },
       onDrain(listener) {
-        answer.onDrain(() => {
-          isBackedUp = false;
+        response.onDrain(() => {
+          isBackpressured = false;
           lastEventAt = context.now();
           listener();
         });
       },
     },
-    idleMilliseconds: () => (isBackedUp ? 0 : context.now() - lastEventAt),
+    idleMilliseconds: () => (isBackpressured ? 0 : context.now() - lastEventAt),
     isOnTime: () =>
       firstEventMilliseconds !== undefined &&
       firstEventMilliseconds <= route.objectiveMilliseconds &&
