--- a/packages/admission/src/admission.test.ts
+++ b/packages/admission/src/admission.test.ts
@@ -8,25 +8,28 @@
   AdmissionKind,
   createFairQueue,
   createSlotShares,
-  EvidenceKind,
+  BackendObservationKind,
   initialLimit,
   planAdmission,
   planLimit,
   RefusalReason,
 } from './index.js';
-import type { AdmissionInput, Evidence, LimitState } from './index.js';
+import type { AdmissionInput, BackendObservation, LimitState } from './index.js';
 
 const POLICY = { coldConcurrency: 2, maximumConcurrency: 32, expectedStepMilliseconds: 20 };
-const WARM: Evidence = { kind: EvidenceKind.Reported, warm: true };
-const COLD: Evidence = { kind: EvidenceKind.Reported, warm: false };
-
-function follow(evidence: readonly Evidence[], from = initialLimit(POLICY)): LimitState {
-  return evidence.reduce((state, one) => planLimit(state, one, POLICY), from);
+const WARM: BackendObservation = { kind: BackendObservationKind.Reported, warm: true };
+const COLD: BackendObservation = { kind: BackendObservationKind.Reported, warm: false };
+
+function applyAll(
+  observations: readonly BackendObservation[],
+  from = initialLimit(POLICY),
+): LimitState {
+  return observations.reduce((state, one) => planLimit(state, one, POLICY), from);
 }
 
-function steps(count: number, milliseconds: number, running: number): Evidence[] {
+function steps(count: number, milliseconds: number, running: number): BackendObservation[] {
   return Array.from({ length: count }, () => ({
-    kind: EvidenceKind.Step,
+    kind: BackendObservationKind.Step,
     milliseconds,
     running,
   }));
@@ -35,45 +38,50 @@
 describe('the limit of a backend server', () => {
   it('starts cold and grows only under good load of a warm engine', () => {
     // A server that has just started falls over under full load, and every answer on it breaks.
-    expect(follow(steps(1000, 20, 2)).limit).toBe(2);
-    expect(follow([WARM, ...steps(1000, 20, 0)]).limit).toBe(2);
-    expect(follow([WARM, ...steps(100, 20, 2)]).limit).toBeGreaterThan(2);
-    expect(follow([WARM, ...steps(5000, 20, 32)]).limit).toBe(32);
+    expect(applyAll(steps(1000, 20, 2)).limit).toBe(2);
+    expect(applyAll([WARM, ...steps(1000, 20, 0)]).limit).toBe(2);
+    expect(applyAll([WARM, ...steps(100, 20, 2)]).limit).toBeGreaterThan(2);
+    expect(applyAll([WARM, ...steps(5000, 20, 32)]).limit).toBe(32);
   });
 
   it('falls back at once when a warm engine turns cold or is lost', () => {
-    const grown = follow([WARM, ...steps(5000, 20, 32)]);
-    expect(follow([COLD], grown).limit).toBe(2);
-    expect(follow([{ kind: EvidenceKind.Lost }], grown).limit).toBe(2);
-    expect(follow([{ kind: EvidenceKind.Lost }, ...steps(5000, 20, 32)], grown).limit).toBe(2);
+    const grown = applyAll([WARM, ...steps(5000, 20, 32)]);
+    expect(applyAll([COLD], grown).limit).toBe(2);
+    expect(applyAll([{ kind: BackendObservationKind.Lost }], grown).limit).toBe(2);
+    expect(
+      applyAll([{ kind: BackendObservationKind.Lost }, ...steps(5000, 20, 32)], grown).limit,
+    ).toBe(2);
   });
 
   it('falls when steps jump, before any report says so', () => {
-    const grown = follow([WARM, ...steps(5000, 20, 32)]);
-    expect(follow(steps(20, 90, 32), grown).limit).toBeLessThanOrEqual(4);
-    expect(follow(steps(2, 90, 32), grown).limit).toBe(32);
+    const grown = applyAll([WARM, ...steps(5000, 20, 32)]);
+    expect(applyAll(steps(20, 90, 32), grown).limit).toBeLessThanOrEqual(4);
+    expect(applyAll(steps(2, 90, 32), grown).limit).toBe(32);
   });
 
   it('believes the first step it sees, not the document’s guess', () => {
     // Servers that had seen few calls still showed most of the document's 200 ms and looked far
     // slower than one that had seen many, so that one server got nearly all calls of a service.
-    expect(follow(steps(1, 3, 1)).stepMilliseconds).toBe(3);
-    expect(follow([...steps(1, 3, 1), ...steps(1, 5, 1)]).stepMilliseconds).toBe(4);
+    expect(applyAll(steps(1, 3, 1)).stepMilliseconds).toBe(3);
+    expect(applyAll([...steps(1, 3, 1), ...steps(1, 5, 1)]).stepMilliseconds).toBe(4);
   });
 
   it('never leaves its bounds', () => {
-    const evidence = fc.oneof(
-      fc.record({ kind: fc.constant(EvidenceKind.Reported as const), warm: fc.boolean() }),
+    const observations = fc.oneof(
+      fc.record({
+        kind: fc.constant(BackendObservationKind.Reported as const),
+        warm: fc.boolean(),
+      }),
       fc.record({
-        kind: fc.constant(EvidenceKind.Step as const),
+        kind: fc.constant(BackendObservationKind.Step as const),
         milliseconds: fc.integer({ min: 0, max: 200 }),
         running: fc.nat(40),
       }),
-      fc.constant<Evidence>({ kind: EvidenceKind.Lost }),
+      fc.constant<BackendObservation>({ kind: BackendObservationKind.Lost }),
     );
     fc.assert(
-      fc.property(fc.array(evidence, { maxLength: 300 }), (given) => {
-        const { limit } = follow(given);
+      fc.property(fc.array(observations, { maxLength: 300 }), (given) => {
+        const { limit } = applyAll(given);
         expect(limit).toBeGreaterThanOrEqual(2);
         expect(limit).toBeLessThanOrEqual(32);
       }),
@@ -82,7 +90,7 @@
 });
 
 const IDLE: AdmissionInput = {
-  slotFree: true,
+  isSlotFree: true,
   limit: 4,
   queued: 0,
   queuedTokens: 0,
@@ -98,7 +106,7 @@
 describe('admission', () => {
   it('starts, queues, or refuses at once with when to come back', () => {
     expect(planAdmission(IDLE).kind).toBe(AdmissionKind.Start);
-    const full = { ...IDLE, slotFree: false, runningTokens: 400 };
+    const full = { ...IDLE, isSlotFree: false, runningTokens: 400 };
     expect(planAdmission(full).kind).toBe(AdmissionKind.Queue);
     const crowded = planAdmission({ ...full, queued: 8, queuedTokens: 800 });
     expect(crowded).toMatchObject({
@@ -124,10 +132,10 @@
     // Eight drafts of one account fill a server and end together. A small account's request that
     // comes right after their start would wait for all of them.
     const shares = createSlotShares();
-    shares.seen('small', 0);
+    shares.requestArrived('small', 0);
     let running = 0;
     while (shares.mayStart('large', running, 8, 1)) {
-      shares.started('large', 1);
+      shares.requestStarted('large', 1);
       running += 1;
     }
     expect(running).toBe(7);
@@ -136,8 +144,8 @@
 
   it('leave all slots to an account that is alone', () => {
     const shares = createSlotShares();
-    shares.seen('small', 0);
-    shares.started('large', 20_000);
+    shares.requestArrived('small', 0);
+    shares.requestStarted('large', 20_000);
     expect(shares.mayStart('large', 7, 8, 20_000)).toBe(true);
     expect(shares.mayStart('large', 8, 8, 20_000)).toBe(false);
   });
--- a/packages/admission/src/fair-queue.ts
+++ b/packages/admission/src/fair-queue.ts
@@ -12,7 +12,7 @@
 interface AccountQueue<T> {
   deficit: number;
   weight: number;
-  readonly waiting: T[];
+  readonly requests: T[];
 }
 
 /**
@@ -37,19 +37,19 @@
 
 export function createFairQueue<T extends QueuedRequest>(): FairQueue<T> {
   const queues = new Map<string, AccountQueue<T>>();
-  let turns: string[] = [];
+  let activeAccounts: string[] = [];
   let size = 0;
   let tokens = 0;
 
-  function forget(account: string): void {
+  function removeAccount(account: string): void {
     queues.delete(account);
-    turns = turns.filter((name) => name !== account);
+    activeAccounts = activeAccounts.filter((name) => name !== account);
   }
 
-  function taken(account: string, queue: AccountQueue<T>, request: T): T {
+  function recordRemoval(account: string, queue: AccountQueue<T>, request: T): T {
     size -= 1;
     tokens -= request.tokens;
-    if (queue.waiting.length === 0) forget(account);
+    if (queue.requests.length === 0) removeAccount(account);
     return request;
   }
 
@@ -63,47 +63,47 @@
     push(request) {
       let queue = queues.get(request.account);
       if (queue === undefined) {
-        queue = { deficit: 0, weight: request.weight, waiting: [] };
+        queue = { deficit: 0, weight: request.weight, requests: [] };
         queues.set(request.account, queue);
-        turns.push(request.account);
+        activeAccounts.push(request.account);
       }
       queue.weight = request.weight;
-      queue.waiting.push(request);
+      queue.requests.push(request);
       size += 1;
       tokens += request.tokens;
     },
     shift(mayStart = () => true) {
-      if (!turns.some(mayStart)) return undefined;
-      while (turns.length > 0) {
-        const [account = ''] = turns;
+      if (!activeAccounts.some(mayStart)) return undefined;
+      while (activeAccounts.length > 0) {
+        const [account = ''] = activeAccounts;
         if (!mayStart(account)) {
-          turns.push(...turns.splice(0, 1));
+          activeAccounts.push(...activeAccounts.splice(0, 1));
           continue;
         }
         const queue = queues.get(account) as AccountQueue<T>;
-        const head = queue.waiting[0];
+        const head = queue.requests[0];
         if (queue.deficit >= head.tokens) {
           queue.deficit -= head.tokens;
-          queue.waiting.shift();
-          return taken(account, queue, head);
+          queue.requests.shift();
+          return recordRemoval(account, queue, head);
         }
         queue.deficit += QUANTUM_TOKENS * queue.weight;
-        turns.push(turns.shift() as string);
+        activeAccounts.push(activeAccounts.shift() as string);
       }
       return undefined;
     },
-    hasStartable: (mayStart) => turns.some(mayStart),
+    hasStartable: (mayStart) => activeAccounts.some(mayStart),
     remove(request) {
       const queue = queues.get(request.account);
-      const index = queue?.waiting.indexOf(request) ?? -1;
+      const index = queue?.requests.indexOf(request) ?? -1;
       if (queue === undefined || index < 0) return false;
-      queue.waiting.splice(index, 1);
-      taken(request.account, queue, request);
+      queue.requests.splice(index, 1);
+      recordRemoval(request.account, queue, request);
       return true;
     },
     tokensOf(account) {
       let sum = 0;
-      for (const request of queues.get(account)?.waiting ?? []) sum += request.tokens;
+      for (const request of queues.get(account)?.requests ?? []) sum += request.tokens;
       return sum;
     },
   };
--- a/packages/admission/src/plan-admission.ts
+++ b/packages/admission/src/plan-admission.ts
@@ -23,7 +23,7 @@
 
 export interface AdmissionInput {
   /** Whether a slot is free for the request's account. */
-  readonly slotFree: boolean;
+  readonly isSlotFree: boolean;
   readonly limit: number;
   readonly queued: number;
   readonly queuedTokens: number;
@@ -38,7 +38,7 @@
 }
 
 /** Time until a slot is free for a request that joins the queue now. */
-export function expectedWait(input: AdmissionInput): number {
+export function estimateWaitMilliseconds(input: AdmissionInput): number {
   const tokensAhead = input.queuedTokens + input.runningTokens / 2;
   return (tokensAhead * input.stepMilliseconds) / Math.max(1, input.limit);
 }
@@ -48,25 +48,28 @@
  * can, so it is refused at once and told when the queue will have passed.
  */
 export function planAdmission(input: AdmissionInput): Admission {
-  const own = input.requestTokens * input.stepMilliseconds;
-  if (input.slotFree) {
-    if (own <= input.remainingMilliseconds) return { kind: AdmissionKind.Start };
+  const serviceMilliseconds = input.requestTokens * input.stepMilliseconds;
+  if (input.isSlotFree) {
+    if (serviceMilliseconds <= input.remainingMilliseconds) return { kind: AdmissionKind.Start };
     return refuse(RefusalReason.DeadlineTooShort, 0, input);
   }
-  const wait = expectedWait(input);
-  if (input.queued >= input.maximumQueued || wait > input.queueMilliseconds) {
-    return refuse(RefusalReason.QueueFull, wait, input);
+  const waitMilliseconds = estimateWaitMilliseconds(input);
+  if (input.queued >= input.maximumQueued || waitMilliseconds > input.queueMilliseconds) {
+    return refuse(RefusalReason.QueueFull, waitMilliseconds, input);
   }
-  if (wait + own > input.remainingMilliseconds) {
-    return refuse(RefusalReason.DeadlineTooShort, wait, input);
+  if (waitMilliseconds + serviceMilliseconds > input.remainingMilliseconds) {
+    return refuse(RefusalReason.DeadlineTooShort, waitMilliseconds, input);
   }
-  return { kind: AdmissionKind.Queue, expectedWaitMilliseconds: wait };
+  return { kind: AdmissionKind.Queue, expectedWaitMilliseconds: waitMilliseconds };
 }
 
-function refuse(reason: RefusalReason, wait: number, input: AdmissionInput): Admission {
+function refuse(reason: RefusalReason, waitMilliseconds: number, input: AdmissionInput): Admission {
   return {
     kind: AdmissionKind.Refuse,
     reason,
-    retryAfterMilliseconds: Math.max(input.minimumRetryAfterMilliseconds, Math.ceil(wait)),
+    retryAfterMilliseconds: Math.max(
+      input.minimumRetryAfterMilliseconds,
+      Math.ceil(waitMilliseconds),
+    ),
   };
 }
--- a/packages/admission/src/plan-limit.ts
+++ b/packages/admission/src/plan-limit.ts
@@ -4,7 +4,7 @@
  * evidence of good step times under load; it falls at once on evidence of the opposite,
  * since a warm server can turn cold again without notice.
  */
-export enum EvidenceKind {
+export enum BackendObservationKind {
   /** The engine's own report. */
   Reported = 'reported',
   /** One step of one answer took this long while so many requests ran. */
@@ -13,14 +13,14 @@
   Lost = 'lost',
 }
 
-export type Evidence =
-  | { readonly kind: EvidenceKind.Reported; readonly warm: boolean }
+export type BackendObservation =
+  | { readonly kind: BackendObservationKind.Reported; readonly warm: boolean }
   | {
-      readonly kind: EvidenceKind.Step;
+      readonly kind: BackendObservationKind.Step;
       readonly milliseconds: number;
       readonly running: number;
     }
-  | { readonly kind: EvidenceKind.Lost };
+  | { readonly kind: BackendObservationKind.Lost };
 
 export interface LimitPolicy {
   readonly coldConcurrency: number;
@@ -31,82 +31,106 @@
 export interface LimitState {
   readonly limit: number;
   /** False until the engine itself has said that it is warm. */
-  readonly reportedWarm: boolean;
+  readonly isReportedWarm: boolean;
   /** Smoothed time of one step, in milliseconds. */
   readonly stepMilliseconds: number;
   /** Steps seen so far; the first ones weigh more, so that the document's guess is soon forgotten. */
-  readonly seenSteps: number;
-  readonly goodSteps: number;
-  readonly badSteps: number;
+  readonly observedSteps: number;
+  readonly fastStepsUnderLoad: number;
+  readonly consecutiveSlowSteps: number;
 }
 
-const GROWTH = 1.25;
-const SHRINK = 0.5;
+const GROWTH_FACTOR = 1.25;
+const SHRINK_FACTOR = 0.5;
 /** A step slower than this multiple of the expected one counts against the server. */
-const BAD_FACTOR = 3;
+const SLOW_STEP_FACTOR = 3;
 /** One slow step is noise; so many in a row are a jump. */
-const BAD_STEPS = 5;
-const SMOOTHING = 0.1;
+const SLOW_STEPS_BEFORE_SHRINK = 5;
+const MINIMUM_STEP_WEIGHT = 0.1;
 /** Growth needs the limit to be in use, or idle time would count as evidence. */
-const USED_SHARE = 0.6;
+const MINIMUM_UTILIZATION = 0.6;
 /** Steps per unit of limit before the limit grows. */
-const STEPS_PER_GROWTH = 4;
+const FAST_STEPS_PER_LIMIT_UNIT = 4;
 
 export function initialLimit(policy: LimitPolicy): LimitState {
   return {
     limit: Math.min(policy.coldConcurrency, policy.maximumConcurrency),
-    reportedWarm: false,
+    isReportedWarm: false,
     stepMilliseconds: policy.expectedStepMilliseconds,
-    seenSteps: 0,
-    goodSteps: 0,
-    badSteps: 0,
+    observedSteps: 0,
+    fastStepsUnderLoad: 0,
+    consecutiveSlowSteps: 0,
   };
 }
 
-function reset(state: LimitState, policy: LimitPolicy): LimitState {
-  const { stepMilliseconds, seenSteps } = state;
-  return { ...initialLimit(policy), stepMilliseconds, seenSteps };
+function resetLimit(state: LimitState, policy: LimitPolicy): LimitState {
+  const { stepMilliseconds, observedSteps } = state;
+  return { ...initialLimit(policy), stepMilliseconds, observedSteps };
 }
 
-function planStep(
+function applyStep(
   state: LimitState,
   milliseconds: number,
   running: number,
   policy: LimitPolicy,
 ): LimitState {
-  const weight = Math.max(SMOOTHING, 1 / (state.seenSteps + 1));
+  const weight = Math.max(MINIMUM_STEP_WEIGHT, 1 / (state.observedSteps + 1));
   const stepMilliseconds =
     state.stepMilliseconds + (milliseconds - state.stepMilliseconds) * weight;
-  const seenSteps = state.seenSteps + 1;
-  if (milliseconds > policy.expectedStepMilliseconds * BAD_FACTOR) {
-    const badSteps = state.badSteps + 1;
-    if (badSteps < BAD_STEPS)
-      return { ...state, stepMilliseconds, seenSteps, badSteps, goodSteps: 0 };
-    const limit = Math.max(policy.coldConcurrency, Math.floor(state.limit * SHRINK));
-    return { ...state, stepMilliseconds, seenSteps, limit, goodSteps: 0, badSteps: 0 };
+  const observedSteps = state.observedSteps + 1;
+  if (milliseconds > policy.expectedStepMilliseconds * SLOW_STEP_FACTOR) {
+    const consecutiveSlowSteps = state.consecutiveSlowSteps + 1;
+    if (consecutiveSlowSteps < SLOW_STEPS_BEFORE_SHRINK)
+      return {
+        ...state,
+        stepMilliseconds,
+        observedSteps,
+        consecutiveSlowSteps,
+        fastStepsUnderLoad: 0,
+      };
+    const limit = Math.max(policy.coldConcurrency, Math.floor(state.limit * SHRINK_FACTOR));
+    return {
+      ...state,
+      stepMilliseconds,
+      observedSteps,
+      limit,
+      fastStepsUnderLoad: 0,
+      consecutiveSlowSteps: 0,
+    };
   }
-  const used = running >= state.limit * USED_SHARE;
-  const goodSteps = used ? state.goodSteps + 1 : state.goodSteps;
-  const grown = { ...state, stepMilliseconds, seenSteps, goodSteps, badSteps: 0 };
-  if (!state.reportedWarm || goodSteps < state.limit * STEPS_PER_GROWTH) return grown;
+  const isLimitInUse = running >= state.limit * MINIMUM_UTILIZATION;
+  const fastStepsUnderLoad = isLimitInUse ? state.fastStepsUnderLoad + 1 : state.fastStepsUnderLoad;
+  const next = {
+    ...state,
+    stepMilliseconds,
+    observedSteps,
+    fastStepsUnderLoad,
+    consecutiveSlowSteps: 0,
+  };
+  if (!state.isReportedWarm || fastStepsUnderLoad < state.limit * FAST_STEPS_PER_LIMIT_UNIT)
+    return next;
   const limit = Math.min(
     policy.maximumConcurrency,
-    Math.max(state.limit + 1, Math.floor(state.limit * GROWTH)),
+    Math.max(state.limit + 1, Math.floor(state.limit * GROWTH_FACTOR)),
   );
-  return { ...grown, limit, goodSteps: 0 };
+  return { ...next, limit, fastStepsUnderLoad: 0 };
 }
 
-export function planLimit(state: LimitState, evidence: Evidence, policy: LimitPolicy): LimitState {
-  switch (evidence.kind) {
-    case EvidenceKind.Reported:
-      if (evidence.warm) return { ...state, reportedWarm: true };
-      return reset(state, policy);
-    case EvidenceKind.Step:
-      return planStep(state, evidence.milliseconds, evidence.running, policy);
-    case EvidenceKind.Lost:
-      return reset(state, policy);
+export function planLimit(
+  state: LimitState,
+  observation: BackendObservation,
+  policy: LimitPolicy,
+): LimitState {
+  switch (observation.kind) {
+    case BackendObservationKind.Reported:
+      if (observation.warm) return { ...state, isReportedWarm: true };
+      return resetLimit(state, policy);
+    case BackendObservationKind.Step:
+      return applyStep(state, observation.milliseconds, observation.running, policy);
+    case BackendObservationKind.Lost:
+      return resetLimit(state, policy);
     default: {
-      const unreachable: never = evidence;
+      const unreachable: never = observation;
       return unreachable;
     }
   }
--- a/packages/admission/src/slot-shares.ts
+++ b/packages/admission/src/slot-shares.ts
@@ -6,37 +6,37 @@
 export interface SlotShares {
   /** Whether an account may take a slot while so many of `limit` are taken. */
   mayStart(account: string, running: number, limit: number, now: number): boolean;
-  started(account: string, now: number): void;
-  ended(account: string): void;
+  requestStarted(account: string, now: number): void;
+  requestEnded(account: string): void;
   /** A request of the account came, whether or not it could start. */
-  seen(account: string, now: number): void;
+  requestArrived(account: string, now: number): void;
 }
 
 /** One slot in so many is kept. Smaller servers have none to spare. */
-const RESERVED_SHARE = 8;
+const SLOTS_PER_RESERVED_SLOT = 8;
 /** How long after its last request an account still counts as active. */
 const ACTIVE_MILLISECONDS = 5000;
 
-interface Usage {
+interface AccountUsage {
   running: number;
-  seenAt: number;
+  lastRequestAt: number;
 }
 
 export function createSlotShares(): SlotShares {
-  const accounts = new Map<string, Usage>();
+  const accounts = new Map<string, AccountUsage>();
 
-  function usageOf(account: string): Usage {
-    const known = accounts.get(account);
-    if (known !== undefined) return known;
-    const usage: Usage = { running: 0, seenAt: -Infinity };
+  function usageOf(account: string): AccountUsage {
+    const existing = accounts.get(account);
+    if (existing !== undefined) return existing;
+    const usage: AccountUsage = { running: 0, lastRequestAt: -Infinity };
     accounts.set(account, usage);
     return usage;
   }
 
-  function countActive(now: number): number {
+  function countActiveAccounts(now: number): number {
     let active = 0;
-    for (const [account, { running, seenAt }] of accounts) {
-      if (running > 0 || now - seenAt <= ACTIVE_MILLISECONDS) active += 1;
+    for (const [account, { running, lastRequestAt }] of accounts) {
+      if (running > 0 || now - lastRequestAt <= ACTIVE_MILLISECONDS) active += 1;
       else accounts.delete(account);
     }
     return active;
@@ -45,22 +45,22 @@
   return {
     mayStart(account, running, limit, now) {
       if (running >= limit) return false;
-      const reserved = Math.floor(limit / RESERVED_SHARE);
+      const reserved = Math.floor(limit / SLOTS_PER_RESERVED_SLOT);
       if (running < limit - reserved) return true;
-      const active = Math.max(1, countActive(now));
+      const active = Math.max(1, countActiveAccounts(now));
       return active === 1 || usageOf(account).running < limit / active;
     },
-    started(account, now) {
+    requestStarted(account, now) {
       const usage = usageOf(account);
       usage.running += 1;
-      usage.seenAt = now;
+      usage.lastRequestAt = now;
     },
-    ended(account) {
+    requestEnded(account) {
       const usage = usageOf(account);
       usage.running = Math.max(0, usage.running - 1);
     },
-    seen(account, now) {
-      usageOf(account).seenAt = now;
+    requestArrived(account, now) {
+      usageOf(account).lastRequestAt = now;
     },
   };
 }
--- a/packages/sidecar/src/call-runner.ts
+++ b/packages/sidecar/src/call-runner.ts
@@ -3,7 +3,7 @@
  * admission, then claim, then dispatch. So nothing refused leaves a claim behind, and
  * nothing is dispatched without one.
  */
-import { EvidenceKind } from '@lapisbridge/admission';
+import { BackendObservationKind } from '@lapisbridge/admission';
 import { ClaimResultKind, ClaimState } from '@lapisbridge/at-most-once';
 import type { Call, Claims, SeenKeys, StoredResult, WonClaim } from '@lapisbridge/at-most-once';
 import type { Limits } from '@lapisbridge/config';
@@ -85,10 +85,10 @@
     });
     if (outcome.kind === ServiceOutcomeKind.Answered) {
       const milliseconds = performance.now() - startedAt;
-      gate.observe({ kind: EvidenceKind.Step, milliseconds, running: options.running() });
+      gate.observe({ kind: BackendObservationKind.Step, milliseconds, running: options.running() });
     } else if (outcome.kind === ServiceOutcomeKind.NotSent || !outcome.timedOut) {
       // A caller's own short deadline says nothing about the service, so it is not evidence.
-      gate.observe({ kind: EvidenceKind.Lost });
+      gate.observe({ kind: BackendObservationKind.Lost });
     }
     if (outcome.kind === ServiceOutcomeKind.NotSent) options.noteUnreachable();
     if (outcome.kind === ServiceOutcomeKind.Answered && outcome.retryAfter !== undefined) {
--- a/packages/sidecar/src/draft-runner.ts
+++ b/packages/sidecar/src/draft-runner.ts
@@ -3,7 +3,7 @@
  * whichever entry reads. The buffer outlives its reader, so that an answer whose entry died
  * can be taken up by another one from any offset.
  */
-import { EvidenceKind } from '@lapisbridge/admission';
+import { BackendObservationKind } from '@lapisbridge/admission';
 import { AnswerStatus, createAnswerBuffer } from '@lapisbridge/answers';
 import type { Limits } from '@lapisbridge/config';
 import type { Logger } from '@lapisbridge/logger';
@@ -81,7 +81,11 @@
         const now = performance.now();
         if (lastTextAt !== undefined) {
           const milliseconds = now - lastTextAt;
-          gate.observe({ kind: EvidenceKind.Step, milliseconds, running: options.running() });
+          gate.observe({
+            kind: BackendObservationKind.Step,
+            milliseconds,
+            running: options.running(),
+          });
         }
         lastTextAt = now;
         run.buffer.append(text);
@@ -106,7 +110,7 @@
       run.failure = outcome;
       run.buffer.fail();
       const ownDoing = run.abort.signal.aborted || outcome.kind === EngineOutcomeKind.Rejected;
-      if (!ownDoing) gate.observe({ kind: EvidenceKind.Lost });
+      if (!ownDoing) gate.observe({ kind: BackendObservationKind.Lost });
       if (outcome.kind === EngineOutcomeKind.NotStarted) noteNotStarted(outcome.retryAfter);
       logger.warn('draft not completed', {
         requestId: run.start.requestId,
--- a/packages/sidecar/src/gate.ts
+++ b/packages/sidecar/src/gate.ts
@@ -6,13 +6,13 @@
   AdmissionKind,
   createFairQueue,
   createSlotShares,
-  EvidenceKind,
+  BackendObservationKind,
   initialLimit,
   planAdmission,
   planLimit,
   RefusalReason,
 } from '@lapisbridge/admission';
-import type { Evidence, LimitPolicy, LimitState } from '@lapisbridge/admission';
+import type { BackendObservation, LimitPolicy, LimitState } from '@lapisbridge/admission';
 import { ResultCode } from '@lapisbridge/errors';
 import type { Logger } from '@lapisbridge/logger';
 
@@ -57,7 +57,7 @@
 
 export interface Gate {
   enter(request: GateRequest, signal: AbortSignal): Promise<Entrance>;
-  observe(evidence: Evidence): void;
+  observe(evidence: BackendObservation): void;
   /** Starts nothing and refuses what comes for so long: the backend server has asked for it. */
   suspend(milliseconds: number): void;
   /** Milliseconds until the suspension is over; 0 where there is none. */
@@ -146,7 +146,7 @@
   }
 
   function admit({ account, tokens }: Pick<GateRequest, 'account' | 'tokens'>): Entrance {
-    shares.started(account, performance.now());
+    shares.requestStarted(account, performance.now());
     running += 1;
     runningTokens += tokens;
     let released = false;
@@ -155,7 +155,7 @@
       release() {
         if (released) return;
         released = true;
-        shares.ended(account);
+        shares.requestEnded(account);
         running -= 1;
         runningTokens -= tokens;
         startWaiting();
@@ -210,10 +210,10 @@
         return refused(ResultCode.NotReady, 'no configuration', NOT_READY_RETRY_MILLISECONDS);
       }
       const state = limitState();
-      shares.seen(request.account, performance.now());
+      shares.requestArrived(request.account, performance.now());
       const admission = planAdmission({
         // Whoever waits already goes first, unless this account may use a slot that they may not.
-        slotFree: !queue.hasStartable(mayStart) && mayStart(request.account),
+        isSlotFree: !queue.hasStartable(mayStart) && mayStart(request.account),
         limit: state.limit,
         queued: queue.size,
         queuedTokens: queue.tokens,
@@ -245,7 +245,7 @@
     observe(evidence) {
       const policy = options.policy();
       if (policy === undefined) return;
-      if (evidence.kind === EvidenceKind.Step) lastStepAt = performance.now();
+      if (evidence.kind === BackendObservationKind.Step) lastStepAt = performance.now();
       const before = limitState();
       limit = planLimit(before, evidence, policy);
       if (limit.limit === before.limit) return;
@@ -272,10 +272,10 @@
         // A time from long ago, or the document's, would make an idle server look slow for good:
         // nobody would send it work, and without work it could never show that it is not.
         stepMilliseconds: isStepFresh() ? state.stepMilliseconds : 0,
-        warm: state.reportedWarm,
+        warm: state.isReportedWarm,
       };
     },
   };
 }
 
-export { EvidenceKind };
+export { BackendObservationKind };
--- a/packages/sidecar/src/load-watcher.ts
+++ b/packages/sidecar/src/load-watcher.ts
@@ -3,8 +3,8 @@
  * warm. A changed boot id means that the server restarted under a living sidecar: it is cold
  * although no connection may have been open to notice.
  */
-import { EvidenceKind } from '@lapisbridge/admission';
-import type { Evidence } from '@lapisbridge/admission';
+import { BackendObservationKind } from '@lapisbridge/admission';
+import type { BackendObservation } from '@lapisbridge/admission';
 import { Agent, request } from 'undici';
 
 /** While requests run or the server is not known to be well. */
@@ -28,7 +28,7 @@
 
 export function createLoadWatcher(
   url: string,
-  observe: (evidence: Evidence) => void,
+  observe: (evidence: BackendObservation) => void,
   isIdle: () => boolean,
 ): LoadWatcher {
   let agent = new Agent({ connections: 1 });
@@ -44,16 +44,17 @@
         signal: AbortSignal.timeout(TIMEOUT_MILLISECONDS),
       });
       const load = (await reply.body.json()) as BackendLoad;
-      if (bootId !== undefined && load.bootId !== bootId) observe({ kind: EvidenceKind.Lost });
+      if (bootId !== undefined && load.bootId !== bootId)
+        observe({ kind: BackendObservationKind.Lost });
       bootId = load.bootId;
       reachable = true;
-      observe({ kind: EvidenceKind.Reported, warm: load.warm === true });
+      observe({ kind: BackendObservationKind.Reported, warm: load.warm === true });
     } catch {
       reachable = false;
       // The connection may have gone silent while new ones work: the next read opens a fresh one.
       void agent.destroy();
       agent = new Agent({ connections: 1 });
-      observe({ kind: EvidenceKind.Lost });
+      observe({ kind: BackendObservationKind.Lost });
     }
   }
 
