--- a/packages/admission/src/admission.test.ts
+++ b/packages/admission/src/admission.test.ts
@@ -1,5 +1,5 @@
 /**
- * Limits that follow the evidence, and a queue that is fair.
+ * The adaptive concurrency limit, admission, reserved slots and the fair queue.
  */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
@@ -36,15 +36,15 @@
 }
 
 describe('the limit of a backend server', () => {
-  it('starts cold and grows only under good load of a warm engine', () => {
-    // A server that has just started falls over under full load, and every answer on it breaks.
+  it('starts at the cold concurrency and grows only while a warm engine is fast under load', () => {
+    // A server that has just started fails under full load, and all its answers are lost.
     expect(applyAll(steps(1000, 20, 2)).limit).toBe(2);
     expect(applyAll([WARM, ...steps(1000, 20, 0)]).limit).toBe(2);
     expect(applyAll([WARM, ...steps(100, 20, 2)]).limit).toBeGreaterThan(2);
     expect(applyAll([WARM, ...steps(5000, 20, 32)]).limit).toBe(32);
   });
 
-  it('falls back at once when a warm engine turns cold or is lost', () => {
+  it('drops to the cold concurrency when a warm engine turns cold or is lost', () => {
     const grown = applyAll([WARM, ...steps(5000, 20, 32)]);
     expect(applyAll([COLD], grown).limit).toBe(2);
     expect(applyAll([{ kind: BackendObservationKind.Lost }], grown).limit).toBe(2);
@@ -53,20 +53,20 @@
     ).toBe(2);
   });
 
-  it('falls when steps jump, before any report says so', () => {
+  it('drops after several slow steps in a row, before any report shows them', () => {
     const grown = applyAll([WARM, ...steps(5000, 20, 32)]);
     expect(applyAll(steps(20, 90, 32), grown).limit).toBeLessThanOrEqual(4);
     expect(applyAll(steps(2, 90, 32), grown).limit).toBe(32);
   });
 
-  it('believes the first step it sees, not the document’s guess', () => {
-    // Servers that had seen few calls still showed most of the document's 200 ms and looked far
-    // slower than one that had seen many, so that one server got nearly all calls of a service.
+  it('uses the first observed step time instead of the configured estimate', () => {
+    // Guards against a step time that keeps most of the configured 200 ms: servers that had seen
+    // few calls looked far slower than one that had seen many, which got nearly all calls.
     expect(applyAll(steps(1, 3, 1)).stepMilliseconds).toBe(3);
     expect(applyAll([...steps(1, 3, 1), ...steps(1, 5, 1)]).stepMilliseconds).toBe(4);
   });
 
-  it('never leaves its bounds', () => {
+  it('stays within its bounds', () => {
     const observations = fc.oneof(
       fc.record({
         kind: fc.constant(BackendObservationKind.Reported as const),
@@ -104,7 +104,7 @@
 };
 
 describe('admission', () => {
-  it('starts, queues, or refuses at once with when to come back', () => {
+  it('starts, queues, or refuses immediately with a retry delay', () => {
     expect(planAdmission(IDLE).kind).toBe(AdmissionKind.Start);
     const full = { ...IDLE, isSlotFree: false, runningTokens: 400 };
     expect(planAdmission(full).kind).toBe(AdmissionKind.Queue);
@@ -116,8 +116,8 @@
     });
   });
 
-  it('refuses at once what cannot finish before its deadline', () => {
-    // Letting it in would take a slot from a request that can still be answered in time, and the
+  it('refuses a request that cannot finish before its deadline', () => {
+    // Admitting it would take a slot from a request that can still be answered in time, and the
     // caller would learn only at its deadline that there is no answer.
     const late = planAdmission({ ...IDLE, remainingMilliseconds: 500 });
     expect(late).toMatchObject({
@@ -127,10 +127,10 @@
   });
 });
 
-describe('the shares of slots', () => {
-  it('keep a slot for a small account while a large one asks for all of them', () => {
-    // Eight drafts of one account fill a server and end together. A small account's request that
-    // comes right after their start would wait for all of them.
+describe('slot shares', () => {
+  it('reserve a slot for a small account while a large one asks for all of them', () => {
+    // Eight drafts of one account fill a server and end together. A request of a small account that
+    // arrives just after they start would wait for all of them.
     const shares = createSlotShares();
     shares.requestArrived('small', 0);
     let running = 0;
@@ -142,7 +142,7 @@
     expect(shares.mayStart('small', running, 8, 1)).toBe(true);
   });
 
-  it('leave all slots to an account that is alone', () => {
+  it('leave all slots to the only active account', () => {
     const shares = createSlotShares();
     shares.requestArrived('small', 0);
     shares.requestStarted('large', 20_000);
@@ -163,8 +163,8 @@
   });
 
   it('alternates between accounts whose requests are short', () => {
-    // With a turn of 256 tokens the large account started eight drafts of 30 tokens before a small
-    // one's next, and the small one's wait was four times as long as without the large one.
+    // With a quantum of 256 tokens a large account started eight drafts of 30 tokens before the
+    // next one of a small account, which waited four times as long as without the large account.
     const queue = createFairQueue();
     for (let index = 0; index < 100; index += 1) {
       queue.push({ account: 'large', weight: 1, tokens: 30 });
--- a/packages/admission/src/fair-queue.ts
+++ b/packages/admission/src/fair-queue.ts
@@ -1,7 +1,7 @@
 /**
- * A queue that is fair between client accounts: deficit round robin over estimated tokens.
- * A first-come queue would let one large account's burst delay everyone behind it; here
- * each account in turn gets tokens in proportion to its weight.
+ * A request queue that is fair between client accounts: deficit round robin over estimated tokens.
+ * A first-in, first-out queue would let a burst of one large account delay every account behind
+ * it. Here each account in turn is credited with tokens in proportion to its weight.
  */
 export interface QueuedRequest {
   readonly account: string;
@@ -10,14 +10,16 @@
 }
 
 interface AccountQueue<T> {
+  /** Tokens that the account has been credited with and has not spent yet. */
   deficit: number;
   weight: number;
   readonly requests: T[];
 }
 
 /**
- * Tokens an account of weight 1 gains at each turn. Small against a usual request: a turn that
- * is worth many requests lets a large account start them all before a small one's next.
+ * Tokens that an account of weight 1 is credited with in each round. It is small compared with a
+ * typical request: a quantum worth many requests would let a large account start all of them
+ * before the next request of a small account.
  */
 export const QUANTUM_TOKENS = 16;
 
@@ -25,13 +27,13 @@
   readonly size: number;
   readonly tokens: number;
   push(request: T): void;
-  /** The next request in fair order, of an account that may start one now. */
+  /** Removes and returns the next request in fair order among the accounts that may start one. */
   shift(mayStart?: (account: string) => boolean): T | undefined;
-  /** Whether any account that waits may start a request now. */
+  /** Whether any account with queued requests may start one now. */
   hasStartable(mayStart: (account: string) => boolean): boolean;
-  /** Takes one request out of turn, because it was cancelled or its time is up. */
+  /** Removes a request that was cancelled or timed out; false when it is not queued. */
   remove(request: T): boolean;
-  /** Tokens of one account that wait. */
+  /** Sum of the estimated tokens of an account's queued requests. */
   tokensOf(account: string): number;
 }
 
--- a/packages/admission/src/index.ts
+++ b/packages/admission/src/index.ts
@@ -1,5 +1,6 @@
 /**
- * Decisions of a sidecar about what its backend server may carry.
+ * Admission control of a sidecar: the concurrency limit of its backend server, the fair queue, and
+ * which requests are refused.
  */
 export { createFairQueue, QUANTUM_TOKENS } from './fair-queue.js';
 export type { FairQueue, QueuedRequest } from './fair-queue.js';
--- a/packages/admission/src/plan-admission.ts
+++ b/packages/admission/src/plan-admission.ts
@@ -1,5 +1,5 @@
 /**
- * Decides whether a request starts now, waits in the short queue, or is refused at once.
+ * Decides whether a request starts now, waits in the short queue, or is refused immediately. Pure.
  */
 export enum AdmissionKind {
   Start = 'start',
@@ -22,12 +22,12 @@
     };
 
 export interface AdmissionInput {
-  /** Whether a slot is free for the request's account. */
+  /** Whether the request's account may take a slot now. */
   readonly isSlotFree: boolean;
   readonly limit: number;
   readonly queued: number;
   readonly queuedTokens: number;
-  /** Tokens that run now and are not yet generated. */
+  /** Estimated tokens of all running requests. */
   readonly runningTokens: number;
   readonly stepMilliseconds: number;
   readonly requestTokens: number;
@@ -37,15 +37,18 @@
   readonly minimumRetryAfterMilliseconds: number;
 }
 
-/** Time until a slot is free for a request that joins the queue now. */
+/**
+ * Estimated milliseconds until a request that joins the queue now gets a slot. Running requests are
+ * taken to be half done on average.
+ */
 export function estimateWaitMilliseconds(input: AdmissionInput): number {
   const tokensAhead = input.queuedTokens + input.runningTokens / 2;
   return (tokensAhead * input.stepMilliseconds) / Math.max(1, input.limit);
 }
 
 /**
- * A request that cannot finish before its deadline would only take a slot from one that
- * can, so it is refused at once and told when the queue will have passed.
+ * Refuses a request that cannot finish before its deadline, since it would only take a slot from
+ * one that can. A refusal tells the caller after how many milliseconds to try again.
  */
 export function planAdmission(input: AdmissionInput): Admission {
   const serviceMilliseconds = input.requestTokens * input.stepMilliseconds;
--- a/packages/admission/src/plan-limit.ts
+++ b/packages/admission/src/plan-limit.ts
@@ -1,15 +1,15 @@
 /**
- * How many requests a backend server may carry at once. A server in a cold start falls
- * over under full load, so the limit begins at the document's cold value and grows only on
- * evidence of good step times under load; it falls at once on evidence of the opposite,
+ * Adaptive concurrency limit of a backend server. A server that has just started fails under full
+ * load, so the limit starts at the configured cold concurrency and grows only while step times
+ * stay good under load. It drops after a few slow steps in a row and as soon as the server is lost,
  * since a warm server can turn cold again without notice.
  */
 export enum BackendObservationKind {
   /** The engine's own report. */
   Reported = 'reported',
-  /** One step of one answer took this long while so many requests ran. */
+  /** Duration of one step of one answer, and how many requests were running. */
   Step = 'step',
-  /** The engine refused a connection, restarted or broke off an answer. */
+  /** The engine refused a connection, restarted or aborted an answer. */
   Lost = 'lost',
 }
 
@@ -30,11 +30,14 @@
 
 export interface LimitState {
   readonly limit: number;
-  /** False until the engine itself has said that it is warm. */
+  /** Whether the engine has reported since the last reset that it is warm. */
   readonly isReportedWarm: boolean;
   /** Smoothed time of one step, in milliseconds. */
   readonly stepMilliseconds: number;
-  /** Steps seen so far; the first ones weigh more, so that the document's guess is soon forgotten. */
+  /**
+   * Number of steps observed. The first ones weigh more, so that the configured estimate is
+   * replaced quickly.
+   */
   readonly observedSteps: number;
   readonly fastStepsUnderLoad: number;
   readonly consecutiveSlowSteps: number;
@@ -42,14 +45,16 @@
 
 const GROWTH_FACTOR = 1.25;
 const SHRINK_FACTOR = 0.5;
-/** A step slower than this multiple of the expected one counts against the server. */
+/** A step that takes longer than this multiple of the expected time counts as slow. */
 const SLOW_STEP_FACTOR = 3;
-/** One slow step is noise; so many in a row are a jump. */
+/** Slow steps in a row that lower the limit; a single slow step is noise. */
 const SLOW_STEPS_BEFORE_SHRINK = 5;
 const MINIMUM_STEP_WEIGHT = 0.1;
-/** Growth needs the limit to be in use, or idle time would count as evidence. */
+/**
+ * Share of the limit that must be in use for a step to count; idle time says nothing about load.
+ */
 const MINIMUM_UTILIZATION = 0.6;
-/** Steps per unit of limit before the limit grows. */
+/** Fast steps under load, per unit of the limit, after which the limit grows. */
 const FAST_STEPS_PER_LIMIT_UNIT = 4;
 
 export function initialLimit(policy: LimitPolicy): LimitState {
@@ -116,6 +121,7 @@
   return { ...next, limit, fastStepsUnderLoad: 0 };
 }
 
+/** Returns the state after one observation. Pure; the limit stays within the policy's bounds. */
 export function planLimit(
   state: LimitState,
   observation: BackendObservation,
--- a/packages/admission/src/slot-shares.ts
+++ b/packages/admission/src/slot-shares.ts
@@ -1,20 +1,23 @@
 /**
- * Keeps a few slots of a server free for accounts that use less than their share. Slots come
- * free in bursts, because a batch that started together ends together; without this a small
- * account waits for a whole answer of a large one that has filled every slot.
+ * Reserves a few slots of a backend server for accounts that use less than their share. Slots
+ * become free in bursts, because requests that were batched together end together. Without a
+ * reserve, a small account waits for a whole answer of a large account that has filled every slot.
  */
 export interface SlotShares {
-  /** Whether an account may take a slot while so many of `limit` are taken. */
+  /**
+   * Whether an account may take a slot while `running` of `limit` slots are taken. `now` is
+   * monotonic time in milliseconds.
+   */
   mayStart(account: string, running: number, limit: number, now: number): boolean;
   requestStarted(account: string, now: number): void;
   requestEnded(account: string): void;
-  /** A request of the account came, whether or not it could start. */
+  /** Records the arrival of a request of the account, whether or not it can start. */
   requestArrived(account: string, now: number): void;
 }
 
-/** One slot in so many is kept. Smaller servers have none to spare. */
+/** One slot in eight is reserved; servers with fewer slots have none to spare. */
 const SLOTS_PER_RESERVED_SLOT = 8;
-/** How long after its last request an account still counts as active. */
+/** How long an account counts as active after its last request. */
 const ACTIVE_MILLISECONDS = 5000;
 
 interface AccountUsage {
