--- a/packages/entry/src/call.ts
+++ b/packages/entry/src/call.ts
@@ -37,7 +37,7 @@
     estimatedTokens: 1,
     excluded: state.tried,
     policy: call.document.routing,
-    turn: context.nextTurn(),
+    roundRobinIndex: context.nextTurn(),
     random: context.random,
   });
   const chosen = choice.kind === ChoiceKind.Chosen ? choice.candidate : undefined;
@@ -125,7 +125,7 @@
       second() {
         const excluded = new Set([...state.tried, instanceId]);
         const other = choose(context, call, { ...state, tried: excluded });
-        if (other === undefined || !context.budget.spend()) return undefined;
+        if (other === undefined || !context.budget.tryWithdraw()) return undefined;
         state.attempt += 1;
         return { instanceId: other.instanceId, attempt: state.attempt };
       },
@@ -200,7 +200,7 @@
     retryAfterMilliseconds: 0,
     tried: new Set(),
   };
-  context.budget.earn();
+  context.budget.deposit();
   for (;;) {
     const candidate = choose(context, call, state);
     if (candidate === undefined) return giveUp(context, call, state);
@@ -220,7 +220,7 @@
         noteRefusal(state, outcome);
         // A superseded claim may be tried again on the same server, from the newer version.
         if (outcome.code !== ResultCode.Cancelled) state.tried.add(instanceId);
-        if (isOverload(outcome.code) && !context.budget.spend()) {
+        if (isOverload(outcome.code) && !context.budget.tryWithdraw()) {
           return giveUp(context, call, state);
         }
         break;
--- a/packages/entry/src/draft.ts
+++ b/packages/entry/src/draft.ts
@@ -32,7 +32,7 @@
     estimatedTokens: estimateTokens(draft),
     excluded: state.tried,
     policy: routing,
-    turn: context.nextTurn(),
+    roundRobinIndex: context.nextTurn(),
     random: context.random,
   });
   const chosen = choice.kind === ChoiceKind.Chosen;
@@ -157,7 +157,7 @@
 /** Relays the whole answer into the sink; throws when it cannot be completed. */
 export async function serveDraft(context: DraftContext, draft: Draft): Promise<void> {
   const state = initialState(draft.resumeFrom);
-  context.budget.earn();
+  context.budget.deposit();
   let current = draft.resumeFrom?.instanceId ?? '';
   let outcome: AttemptOutcome | undefined;
   if (draft.resumeFrom !== undefined) {
@@ -205,7 +205,7 @@
         } else {
           state.breakages += 1;
         }
-        if (repair.needsBudget && !state.admitted && !context.budget.spend()) {
+        if (repair.needsBudget && !state.admitted && !context.budget.tryWithdraw()) {
           throw giveUp(draft, state, ResultCode.Overloaded, 'the retry budget is spent');
         }
         outcome = undefined;
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -82,7 +82,7 @@
       logger,
       random: instance.random,
       // Read anew at each use, since a change of the document replaces it.
-      budget: { earn: () => budget.earn(), spend: () => budget.spend() },
+      budget: { deposit: () => budget.deposit(), tryWithdraw: () => budget.tryWithdraw() },
       nextTurn() {
         turn += 1;
         return turn;
--- a/packages/forwarding/src/choose-server.ts
+++ b/packages/forwarding/src/choose-server.ts
@@ -2,7 +2,7 @@
  * Picks the backend server for the next attempt and writes down why.
  */
 import type { BackendServer } from '@lapisbridge/catalog';
-import { planServer, ServerChoiceKind } from '@lapisbridge/routing';
+import { planServerChoice, ServerChoiceKind } from '@lapisbridge/routing';
 import type { ServerChoice, ServerView } from '@lapisbridge/routing';
 
 import { remainingOf } from './forward-context.js';
@@ -37,7 +37,7 @@
       context.ledger.view(
         server,
         {
-          roomInMilliseconds: Math.max(coldRoom, admission.roomInMilliseconds),
+          limitedForMilliseconds: Math.max(coldRoom, admission.roomInMilliseconds),
           backoffMilliseconds: admission.backoffMilliseconds,
           brokenForMilliseconds: context.groupHealth.brokenFor(server),
           isSilent: context.liveness.isSilent(server),
@@ -57,7 +57,7 @@
 ): number {
   let age = 0;
   let reports = 0;
-  for (const { reportAge } of views) {
+  for (const { reportAgeMilliseconds: reportAge } of views) {
     if (reportAge === undefined) continue;
     age += reportAge;
     reports += 1;
@@ -80,13 +80,14 @@
 ): ChosenServer {
   const { views, byId, leaving } = viewsOf(context, accepted);
   const engine = accepted.configuration.services.get(accepted.service)?.engine;
-  const choice = planServer({
+  const choice = planServerChoice({
     views,
     ownZone: context.ownZone,
     excluded: progress.tried,
-    readTokensPerMillisecond: engine === undefined ? NO_PROMPTS : engine.readTokensPerSecond / 1000,
-    unseenArrivals: guessUnseen(context, accepted.service, views),
-    fits,
+    prefillTokensPerMillisecond:
+      engine === undefined ? NO_PROMPTS : engine.readTokensPerSecond / 1000,
+    unreportedArrivals: guessUnseen(context, accepted.service, views),
+    canServeInTime: fits,
     random: context.random,
   });
   const chosen = choice.kind === ServerChoiceKind.Chosen;
@@ -105,9 +106,9 @@
       outstanding: chosen ? choice.view.outstanding : undefined,
       slots: chosen ? choice.view.slots : undefined,
       remaining: chosen ? remainingOf(context, accepted) : undefined,
-      reportAge: chosen ? roundedOrNone(choice.view.reportAge) : undefined,
+      reportAge: chosen ? roundedOrNone(choice.view.reportAgeMilliseconds) : undefined,
       silence: roundedOrNone(silence),
-      suspicion: chosen ? Number(choice.view.suspicion.toFixed(2)) : undefined,
+      suspicion: chosen ? Number(choice.view.decayedFailures.toFixed(2)) : undefined,
       rateLimit: chosen ? context.statements.rateLimitOf(choice.view.instanceId) : undefined,
       backoff:
         choice.kind === ServerChoiceKind.AllBackingOff
--- a/packages/forwarding/src/serve-plain.ts
+++ b/packages/forwarding/src/serve-plain.ts
@@ -108,7 +108,7 @@
   function startLater(choice: ServerChoice): Start {
     switch (choice.kind) {
       case ServerChoiceKind.AllLimited: {
-        const wait = waitFor(choice.roomInMilliseconds, 'every server has had its share');
+        const wait = waitFor(choice.limitedForMilliseconds, 'every server has had its share');
         if (wait > 0) return { kind: StartKind.Delayed, waitMilliseconds: wait };
         return none(RefusalCause.Full);
       }
--- a/packages/forwarding/src/serve-stream.ts
+++ b/packages/forwarding/src/serve-stream.ts
@@ -95,7 +95,12 @@
   }
 
   /** Whether a server can begin the stream in time. */
-  function fits({ slots, expected, reportAge, typicalMilliseconds }: ServerView): boolean {
+  function fits({
+    slots,
+    expectedOutstanding: expected,
+    reportAgeMilliseconds: reportAge,
+    typicalResponseMilliseconds: typicalMilliseconds,
+  }: ServerView): boolean {
     return canOffer({
       route,
       slots,
--- a/packages/forwarding/src/server-ledger.test.ts
+++ b/packages/forwarding/src/server-ledger.test.ts
@@ -18,7 +18,7 @@
 it('doubts a server after a failure, less after a sound answer, and no less after a request given up', () => {
   const ledger = createServerLedger(() => 0);
   const limits = {
-    roomInMilliseconds: 0,
+    limitedForMilliseconds: 0,
     backoffMilliseconds: 0,
     brokenForMilliseconds: undefined,
     isSilent: false,
@@ -26,7 +26,7 @@
   const suspicionAfter = (verdict: Verdict): number => {
     ledger.sent(SERVER.instanceId, 0);
     ledger.ended(SERVER.instanceId, verdict, 0, false);
-    return ledger.view(SERVER, limits, 1).suspicion;
+    return ledger.view(SERVER, limits, 1).decayedFailures;
   };
   const doubt = suspicionAfter(Verdict.Failing);
   expect(doubt).toBeGreaterThan(0);
--- a/packages/forwarding/src/server-ledger.ts
+++ b/packages/forwarding/src/server-ledger.ts
@@ -42,7 +42,7 @@
     server: BackendServer,
     limits: Pick<
       ServerView,
-      'roomInMilliseconds' | 'backoffMilliseconds' | 'brokenForMilliseconds' | 'isSilent'
+      'limitedForMilliseconds' | 'backoffMilliseconds' | 'brokenForMilliseconds' | 'isSilent'
     >,
     senders: number,
   ): ServerView;
@@ -182,11 +182,11 @@
         availabilityZone: server.availabilityZone,
         slots: server.slots,
         outstanding: outstanding(entry),
-        expected: expected(entry, senders),
-        unreadTokens: entry.unreadTokens,
-        typicalMilliseconds: entry.typical,
-        reportAge: reportAge(entry),
-        suspicion: suspicionNow(entry),
+        expectedOutstanding: expected(entry, senders),
+        pendingPrefillTokens: entry.unreadTokens,
+        typicalResponseMilliseconds: entry.typical,
+        reportAgeMilliseconds: reportAge(entry),
+        decayedFailures: suspicionNow(entry),
         ...limits,
       };
     },
--- a/packages/forwarding/src/stream-delay.ts
+++ b/packages/forwarding/src/stream-delay.ts
@@ -48,7 +48,7 @@
     case ServerChoiceKind.AllCrowded:
       return { kind: DelayKind.Crowded };
     case ServerChoiceKind.AllLimited:
-      return { kind: DelayKind.Limited, roomInMilliseconds: choice.roomInMilliseconds };
+      return { kind: DelayKind.Limited, roomInMilliseconds: choice.limitedForMilliseconds };
     case ServerChoiceKind.AllBackingOff:
       return { kind: DelayKind.BackingOff, roomInMilliseconds: choice.backoffMilliseconds };
     case ServerChoiceKind.Chosen:
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -20,5 +20,5 @@
 export { rendezvousOrder, rendezvousWeight } from './rendezvous.js';
 export { createRetryBudget } from './retry-budget.js';
 export type { RetryBudget } from './retry-budget.js';
-export { planServer, ServerChoiceKind } from './plan-server.js';
-export type { ServerChoice, ServerChoiceInput, ServerView } from './plan-server.js';
+export { planServerChoice, ServerChoiceKind } from './plan-server-choice.js';
+export type { ServerChoice, ServerChoiceInput, ServerView } from './plan-server-choice.js';
--- a/packages/routing/src/plan-choice.ts
+++ b/packages/routing/src/plan-choice.ts
@@ -35,7 +35,7 @@
   /** Zone whose servers are avoided while others have room; empty for none. */
   readonly avoidedZone: string;
   /** Number of the choice at this entry, for choosing in turn. */
-  readonly turn: number;
+  readonly roundRobinIndex: number;
   readonly random: () => number;
 }
 
@@ -48,7 +48,7 @@
   PrefixAffinity = 'prefixAffinity',
   LeastEstimatedTime = 'leastEstimatedTime',
   LeastOutstanding = 'leastOutstanding',
-  InTurn = 'inTurn',
+  RoundRobin = 'inTurn',
 }
 
 export interface CandidateScore {
@@ -67,10 +67,10 @@
   | { readonly kind: ChoiceKind.NoneLeft; readonly tried: number };
 
 /** Affinity is not worth a server this many times slower than the fastest. */
-const SLOW_FACTOR = 2;
+const MAXIMUM_AFFINITY_SLOWDOWN = 2;
 
 /** Smallest known step time; 1 ms when none is known, so that loads still compare. */
-function findFastestStep(candidates: readonly Candidate[]): number {
+function findFastestStepMilliseconds(candidates: readonly Candidate[]): number {
   let fastest = Infinity;
   for (const { load } of candidates) {
     if (load.stepMilliseconds > 0) fastest = Math.min(fastest, load.stepMilliseconds);
@@ -85,7 +85,7 @@
 }
 
 /** Share of its limit from which a server counts as likely to make a request wait. */
-const NEARLY_FULL = 0.8;
+const NEARLY_FULL_OCCUPANCY = 0.8;
 
 /**
  * Estimated milliseconds until the last token. Well below its limit a server only decodes;
@@ -95,24 +95,27 @@
 export function estimateMilliseconds(
   candidate: Candidate,
   input: ChoiceInput,
-  fastestStep: number,
+  fastestStepMilliseconds: number,
 ): number {
   // A server of unknown speed counts as the fastest, so that it gets the work that shows its speed.
-  const step = candidate.load.stepMilliseconds || fastestStep;
-  const decode = step * Math.max(1, input.estimatedTokens);
+  const stepMilliseconds = candidate.load.stepMilliseconds || fastestStepMilliseconds;
+  const decodeMilliseconds = stepMilliseconds * Math.max(1, input.estimatedTokens);
   const occupancy = occupancyOf(candidate);
-  const wait = Math.max(0, occupancy + oneRequest(candidate) - NEARLY_FULL) * decode;
-  const contention = Math.min(1, occupancy) * step;
-  const hop = candidate.availabilityZone === input.ownZone ? 0 : input.policy.hopCostMilliseconds;
-  return decode + wait + contention + hop;
+  const waitMilliseconds =
+    Math.max(0, occupancy + occupancyPerRequest(candidate) - NEARLY_FULL_OCCUPANCY) *
+    decodeMilliseconds;
+  const contentionMilliseconds = Math.min(1, occupancy) * stepMilliseconds;
+  const hopMilliseconds =
+    candidate.availabilityZone === input.ownZone ? 0 : input.policy.hopCostMilliseconds;
+  return decodeMilliseconds + waitMilliseconds + contentionMilliseconds + hopMilliseconds;
 }
 
 /** Share of its limit that one request takes. */
-function oneRequest({ load }: Candidate): number {
+function occupancyPerRequest({ load }: Candidate): number {
   return 1 / Math.max(1, load.limit);
 }
 
-function preferredByPrefix(
+function findAffinityCandidate(
   candidates: readonly Candidate[],
   affinityKey: string,
 ): Candidate | undefined {
@@ -129,19 +132,21 @@
 }
 
 /** Affinity may not overload its favourite: it yields above a multiple of the mean load. */
-function withinBoundedLoad(
+function isWithinBoundedLoad(
   preferred: Candidate,
   candidates: readonly Candidate[],
   factor: number,
-  fastestStep: number,
+  fastestStepMilliseconds: number,
 ): boolean {
   let sum = 0;
   for (const candidate of candidates) sum += occupancyOf(candidate);
   const mean = sum / candidates.length;
-  const healthy = preferred.load.stepMilliseconds <= fastestStep * SLOW_FACTOR;
-  const one = oneRequest(preferred);
-  const fits = occupancyOf(preferred) + one <= Math.min(1, mean * factor + one * 2);
-  return healthy && fits;
+  const isFastEnough =
+    preferred.load.stepMilliseconds <= fastestStepMilliseconds * MAXIMUM_AFFINITY_SLOWDOWN;
+  const requestOccupancy = occupancyPerRequest(preferred);
+  const hasCapacity =
+    occupancyOf(preferred) + requestOccupancy <= Math.min(1, mean * factor + requestOccupancy * 2);
+  return isFastEnough && hasCapacity;
 }
 
 function sample(
@@ -160,33 +165,37 @@
   return taken;
 }
 
-function scoreOf(candidate: Candidate, input: ChoiceInput, fastestStep: number): CandidateScore {
+function scoreOf(
+  candidate: Candidate,
+  input: ChoiceInput,
+  fastestStepMilliseconds: number,
+): CandidateScore {
   return {
     instanceId: candidate.instanceId,
-    estimatedMilliseconds: estimateMilliseconds(candidate, input, fastestStep),
+    estimatedMilliseconds: estimateMilliseconds(candidate, input, fastestStepMilliseconds),
     occupancy: occupancyOf(candidate),
   };
 }
 
-function chooseEstimated(open: readonly Candidate[], input: ChoiceInput): Choice {
+function chooseEstimated(available: readonly Candidate[], input: ChoiceInput): Choice {
   const { policy } = input;
-  const fastestStep = findFastestStep(open);
+  const fastestStepMilliseconds = findFastestStepMilliseconds(available);
   if (input.affinityKey !== '') {
-    const preferred = preferredByPrefix(open, input.affinityKey);
+    const preferred = findAffinityCandidate(available, input.affinityKey);
     if (
       preferred !== undefined &&
-      withinBoundedLoad(preferred, open, policy.boundedLoadFactor, fastestStep)
+      isWithinBoundedLoad(preferred, available, policy.boundedLoadFactor, fastestStepMilliseconds)
     ) {
       return {
         kind: ChoiceKind.Chosen,
         candidate: preferred,
         reason: ChoiceReason.PrefixAffinity,
-        scores: [scoreOf(preferred, input, fastestStep)],
+        scores: [scoreOf(preferred, input, fastestStepMilliseconds)],
       };
     }
   }
-  const sampled = sample(open, policy.sampledChoices, input.random);
-  const scores = sampled.map((candidate) => scoreOf(candidate, input, fastestStep));
+  const sampled = sample(available, policy.sampledChoices, input.random);
+  const scores = sampled.map((candidate) => scoreOf(candidate, input, fastestStepMilliseconds));
   const best = indexOfSmallest(
     scores.map(({ estimatedMilliseconds }) => estimatedMilliseconds),
     input.random,
@@ -210,45 +219,48 @@
   return smallest;
 }
 
-function chooseLeastOutstanding(open: readonly Candidate[], input: ChoiceInput): Choice {
-  const outstanding = open.map(
+function chooseLeastOutstanding(available: readonly Candidate[], input: ChoiceInput): Choice {
+  const outstanding = available.map(
     ({ load, changeSinceReport }) => load.running + load.queued + changeSinceReport,
   );
-  const candidate = open[indexOfSmallest(outstanding, input.random)];
+  const candidate = available[indexOfSmallest(outstanding, input.random)];
   const reason = ChoiceReason.LeastOutstanding;
   return { kind: ChoiceKind.Chosen, candidate, reason, scores: [] };
 }
 
-function chooseInTurn(open: readonly Candidate[], input: ChoiceInput): Choice {
-  const candidate = open[input.turn % open.length];
-  return { kind: ChoiceKind.Chosen, candidate, reason: ChoiceReason.InTurn, scores: [] };
+function chooseRoundRobin(available: readonly Candidate[], input: ChoiceInput): Choice {
+  const candidate = available[input.roundRobinIndex % available.length];
+  return { kind: ChoiceKind.Chosen, candidate, reason: ChoiceReason.RoundRobin, scores: [] };
 }
 
 /**
  * A streamed answer survives the loss of its entry or of its sidecar, and not of both at once.
  * So its sidecar is taken from another zone than the entry's while one there has room.
  */
-function outsideZone(open: readonly Candidate[], avoidedZone: string): readonly Candidate[] {
-  if (avoidedZone === '') return open;
-  const apart = open.filter(
+function preferOtherZones(
+  available: readonly Candidate[],
+  avoidedZone: string,
+): readonly Candidate[] {
+  if (avoidedZone === '') return available;
+  const outside = available.filter(
     (candidate) =>
       candidate.availabilityZone !== avoidedZone &&
-      occupancyOf(candidate) + oneRequest(candidate) <= NEARLY_FULL,
+      occupancyOf(candidate) + occupancyPerRequest(candidate) <= NEARLY_FULL_OCCUPANCY,
   );
-  return apart.length > 0 ? apart : open;
+  return outside.length > 0 ? outside : available;
 }
 
 export function planChoice(input: ChoiceInput): Choice {
   const { candidates, excluded, policy } = input;
-  const open = candidates.filter((candidate) => !excluded.has(candidate.instanceId));
-  if (open.length === 0) return { kind: ChoiceKind.NoneLeft, tried: excluded.size };
+  const available = candidates.filter((candidate) => !excluded.has(candidate.instanceId));
+  if (available.length === 0) return { kind: ChoiceKind.NoneLeft, tried: excluded.size };
   switch (policy.choiceRule) {
     case ChoiceRule.Estimated:
-      return chooseEstimated(outsideZone(open, input.avoidedZone), input);
+      return chooseEstimated(preferOtherZones(available, input.avoidedZone), input);
     case ChoiceRule.LeastOutstanding:
-      return chooseLeastOutstanding(open, input);
+      return chooseLeastOutstanding(available, input);
     case ChoiceRule.RoundRobin:
-      return chooseInTurn(open, input);
+      return chooseRoundRobin(available, input);
     default: {
       const unreachable: never = policy.choiceRule;
       throw new Error(String(unreachable));
--- a/packages/routing/src/plan-server.test.ts
+++ b/packages/routing/src/plan-server-choice.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 
-import { planServer, ServerChoiceKind } from './plan-server.js';
-import type { ServerView } from './plan-server.js';
+import { planServerChoice, ServerChoiceKind } from './plan-server-choice.js';
+import type { ServerView } from './plan-server-choice.js';
 
 function view(instanceId: string, fields: Partial<ServerView> = {}): ServerView {
   return {
@@ -9,12 +9,12 @@
     availabilityZone: 'zone',
     slots: 8,
     outstanding: 0,
-    expected: 0,
-    unreadTokens: 0,
-    typicalMilliseconds: 100,
-    reportAge: undefined,
-    suspicion: 0,
-    roomInMilliseconds: 0,
+    expectedOutstanding: 0,
+    pendingPrefillTokens: 0,
+    typicalResponseMilliseconds: 100,
+    reportAgeMilliseconds: undefined,
+    decayedFailures: 0,
+    limitedForMilliseconds: 0,
     backoffMilliseconds: 0,
     brokenForMilliseconds: undefined,
     isSilent: false,
@@ -23,12 +23,12 @@
 }
 
 function choose(views: readonly ServerView[], excluded: readonly string[] = []) {
-  const choice = planServer({
+  const choice = planServerChoice({
     views,
     ownZone: 'zone',
     excluded: new Set(excluded),
-    readTokensPerMillisecond: 75,
-    unseenArrivals: 0,
+    prefillTokensPerMillisecond: 75,
+    unreportedArrivals: 0,
     random: () => 0,
   });
   return choice.kind === ServerChoiceKind.Chosen ? choice.view.instanceId : choice.kind;
@@ -42,12 +42,12 @@
   });
 
   it('counts prompts that are sent there and not read yet', () => {
-    expect(choose([view('reading', { unreadTokens: 2000 }), view('free')])).toBe('free');
+    expect(choose([view('reading', { pendingPrefillTokens: 2000 }), view('free')])).toBe('free');
   });
 
   it('uses a server that fails only when no other is left', () => {
     // A grey server answers fast with errors, so by its load alone it would draw every request.
-    const grey = view('grey', { suspicion: 2, typicalMilliseconds: 20 });
+    const grey = view('grey', { decayedFailures: 2, typicalResponseMilliseconds: 20 });
     expect(choose([grey, view('sound', { outstanding: 4 })])).toBe('sound');
     expect(choose([grey, view('sound')], ['sound'])).toBe('grey');
   });
@@ -64,18 +64,18 @@
     const short = view('short', { backoffMilliseconds: 700 });
     const long = view('long', { backoffMilliseconds: 3000 });
     expect(choose([short, view('busy', { outstanding: 12 })])).toBe('busy');
-    expect(choose([short, view('cold', { roomInMilliseconds: 200 })])).toBe(
+    expect(choose([short, view('cold', { limitedForMilliseconds: 200 })])).toBe(
       ServerChoiceKind.AllLimited,
     );
     // One that this entry is not to send to at all is limited, whatever it asks for.
-    const foreign = view('foreign', { backoffMilliseconds: 700, roomInMilliseconds: Infinity });
+    const foreign = view('foreign', { backoffMilliseconds: 700, limitedForMilliseconds: Infinity });
     expect(choose([foreign])).toBe(ServerChoiceKind.AllLimited);
-    const choice = planServer({
-      views: [short, long, view('cold', { roomInMilliseconds: 900 })],
+    const choice = planServerChoice({
+      views: [short, long, view('cold', { limitedForMilliseconds: 900 })],
       ownZone: 'zone',
       excluded: new Set(),
-      readTokensPerMillisecond: 75,
-      unseenArrivals: 0,
+      prefillTokensPerMillisecond: 75,
+      unreportedArrivals: 0,
       random: () => 0,
     });
     expect(choice).toEqual({ kind: ServerChoiceKind.AllBackingOff, backoffMilliseconds: 700 });
@@ -87,13 +87,15 @@
     const broken = view('broken', { brokenForMilliseconds: 5 });
     expect(choose([broken, view('open', { outstanding: 8 })])).toBe('open');
     expect(choose([broken])).toBe(ServerChoiceKind.AllBroken);
-    expect(choose([broken, view('cold', { roomInMilliseconds: 200 })])).toBe(
+    expect(choose([broken, view('cold', { limitedForMilliseconds: 200 })])).toBe(
       ServerChoiceKind.AllLimited,
     );
   });
 
   it('tells servers that are limited from servers that are not there', () => {
-    expect(choose([view('cold', { roomInMilliseconds: 200 })])).toBe(ServerChoiceKind.AllLimited);
+    expect(choose([view('cold', { limitedForMilliseconds: 200 })])).toBe(
+      ServerChoiceKind.AllLimited,
+    );
     expect(choose([])).toBe(ServerChoiceKind.NoneLeft);
   });
 });
--- a/packages/routing/src/plan-server.ts
+++ b/packages/routing/src/plan-server-choice.ts
@@ -13,19 +13,19 @@
   /** Requests running and waiting there: the last report, corrected by what was sent since. */
   readonly outstanding: number;
   /** The same where every other entry has sent as many as this one since the report. */
-  readonly expected: number;
+  readonly expectedOutstanding: number;
   /** Prompt tokens sent there by this entry that are not read yet, as far as it can tell. */
-  readonly unreadTokens: number;
+  readonly pendingPrefillTokens: number;
   /** Typical time of one answer or first event, in milliseconds; 0 when unknown. */
-  readonly typicalMilliseconds: number;
+  readonly typicalResponseMilliseconds: number;
   /** Age of the report in milliseconds; undefined where there is none to go by. */
-  readonly reportAge: number | undefined;
+  readonly reportAgeMilliseconds: number | undefined;
   /** Whether it gives no sign of life while most of its service do. */
   readonly isSilent: boolean;
   /** Recent failures, decayed; 0 for a sound server. */
-  readonly suspicion: number;
+  readonly decayedFailures: number;
   /** Milliseconds until the own shares of the server's bounds allow one more request; 0 for now. */
-  readonly roomInMilliseconds: number;
+  readonly limitedForMilliseconds: number;
   /** Milliseconds for which the server has asked to be sent nothing; 0 where it has not. */
   readonly backoffMilliseconds: number;
   /**
@@ -39,14 +39,14 @@
   readonly views: readonly ServerView[];
   readonly ownZone: string;
   readonly excluded: ReadonlySet<string>;
-  readonly readTokensPerMillisecond: number;
+  readonly prefillTokensPerMillisecond: number;
   /**
    * Requests that other entries have sent to the service since the servers' reports were made,
    * as far as this entry can guess; 0 where nobody else sends.
    */
-  readonly unseenArrivals: number;
+  readonly unreportedArrivals: number;
   /** Whether a server can take the request in time for its caller; others are left out. */
-  readonly fits?: (view: ServerView) => boolean;
+  readonly canServeInTime?: (view: ServerView) => boolean;
   readonly random: () => number;
 }
 
@@ -71,7 +71,7 @@
   | {
       readonly kind: ServerChoiceKind.AllLimited;
       /** Until the first of them takes one more; infinite where none will. */
-      readonly roomInMilliseconds: number;
+      readonly limitedForMilliseconds: number;
     }
   | {
       readonly kind: ServerChoiceKind.AllBackingOff;
@@ -85,34 +85,38 @@
     };
 
 /** Time of one answer where none is known yet, in milliseconds: between a booking and a draft. */
-const UNKNOWN_ANSWER_MILLISECONDS = 50;
+const DEFAULT_RESPONSE_MILLISECONDS = 50;
 /** What a hop to another zone costs and back, in milliseconds: twice the usual 1.4 one way. */
-const ZONE_HOP_MILLISECONDS = 3;
+const ZONE_ROUND_TRIP_MILLISECONDS = 3;
 /**
  * Weight of one recent failure, in answers of the slowest server: one that fails half is used
  * last. A failing server often answers at once, so that its own times would hide its failures
  * and draw every request to it.
  */
-const SUSPICION_WEIGHT = 3;
+const FAILURE_WEIGHT = 3;
 /** Two sound ones remain where one of the compared servers fails. */
-const FEWEST_COMPARED = 3;
+const MINIMUM_SAMPLE_SIZE = 3;
 /** Spread of ties, in milliseconds, so that entries do not all take the same server. */
-const TIE_SPREAD_MILLISECONDS = 2;
+const TIE_JITTER_MILLISECONDS = 2;
 
-function typicalOf(view: ServerView): number {
-  return view.typicalMilliseconds || UNKNOWN_ANSWER_MILLISECONDS;
+function typicalResponseOf(view: ServerView): number {
+  return view.typicalResponseMilliseconds || DEFAULT_RESPONSE_MILLISECONDS;
 }
 
 /** `slowest` is the longest typical answer of the service's servers, in milliseconds. */
-function costOf(view: ServerView, slowest: number, input: ServerChoiceInput): number {
-  const typical = typicalOf(view);
+function estimateCostMilliseconds(
+  view: ServerView,
+  slowestResponseMilliseconds: number,
+  input: ServerChoiceInput,
+): number {
+  const typical = typicalResponseOf(view);
   const occupancy = view.outstanding / Math.max(1, view.slots);
   // Below its slots a server shares its speed; above them each full set waits one answer more.
   const wait = typical * (occupancy + Math.max(0, occupancy - 1) * 2);
-  const reading = view.unreadTokens / Math.max(1, input.readTokensPerMillisecond);
-  const hop = view.availabilityZone === input.ownZone ? 0 : ZONE_HOP_MILLISECONDS;
-  const doubt = view.suspicion * SUSPICION_WEIGHT * slowest;
-  return typical + wait + reading + hop + doubt + input.random() * TIE_SPREAD_MILLISECONDS;
+  const prefill = view.pendingPrefillTokens / Math.max(1, input.prefillTokensPerMillisecond);
+  const hop = view.availabilityZone === input.ownZone ? 0 : ZONE_ROUND_TRIP_MILLISECONDS;
+  const penalty = view.decayedFailures * FAILURE_WEIGHT * slowestResponseMilliseconds;
+  return typical + wait + prefill + hop + penalty + input.random() * TIE_JITTER_MILLISECONDS;
 }
 
 /**
@@ -123,15 +127,15 @@
  * their first event). Comparing few at random leaves the least loaded server about one request
  * that nobody else knows of.
  */
-function planSampleSize(usable: number, unseenArrivals: number): number {
-  return Math.max(FEWEST_COMPARED, Math.ceil(usable / (unseenArrivals + 1)));
+function planSampleSize(usable: number, unreportedArrivals: number): number {
+  return Math.max(MINIMUM_SAMPLE_SIZE, Math.ceil(usable / (unreportedArrivals + 1)));
 }
 
-export function planServer(input: ServerChoiceInput): ServerChoice {
+export function planServerChoice(input: ServerChoiceInput): ServerChoice {
   const usable: ServerView[] = [];
-  let roomIn: number | undefined;
+  let limitedFor: number | undefined;
   let backoff: number | undefined;
-  let isCrowded = false;
+  let isAnyCrowded = false;
   let brokenFor = -1;
   for (const view of input.views) {
     if (input.excluded.has(view.instanceId)) continue;
@@ -139,39 +143,39 @@
       brokenFor = Math.max(brokenFor, view.brokenForMilliseconds);
       continue;
     }
-    if (view.backoffMilliseconds > view.roomInMilliseconds) {
+    if (view.backoffMilliseconds > view.limitedForMilliseconds) {
       backoff = Math.min(backoff ?? Infinity, view.backoffMilliseconds);
       continue;
     }
-    if (view.roomInMilliseconds > 0) {
-      roomIn = Math.min(roomIn ?? Infinity, view.roomInMilliseconds);
+    if (view.limitedForMilliseconds > 0) {
+      limitedFor = Math.min(limitedFor ?? Infinity, view.limitedForMilliseconds);
       continue;
     }
     // It takes connections even when it has stopped, and what it took runs when it goes on.
-    if (view.isSilent || input.fits?.(view) === false) {
-      isCrowded = true;
+    if (view.isSilent || input.canServeInTime?.(view) === false) {
+      isAnyCrowded = true;
       continue;
     }
     usable.push(view);
   }
-  const slowest = Math.max(...input.views.map(typicalOf));
-  const size = planSampleSize(usable.length, input.unseenArrivals);
+  const slowestResponseMilliseconds = Math.max(...input.views.map(typicalResponseOf));
+  const size = planSampleSize(usable.length, input.unreportedArrivals);
   let best: ServerView | undefined;
   let bestCost = Infinity;
   for (const view of pickSome(usable, size, input.random)) {
-    const cost = costOf(view, slowest, input);
+    const cost = estimateCostMilliseconds(view, slowestResponseMilliseconds, input);
     if (cost < bestCost) {
       best = view;
       bestCost = cost;
     }
   }
   if (best !== undefined) return { kind: ServerChoiceKind.Chosen, view: best, cost: bestCost };
-  if (isCrowded) return { kind: ServerChoiceKind.AllCrowded };
-  if (backoff !== undefined && backoff < (roomIn ?? Infinity)) {
+  if (isAnyCrowded) return { kind: ServerChoiceKind.AllCrowded };
+  if (backoff !== undefined && backoff < (limitedFor ?? Infinity)) {
     return { kind: ServerChoiceKind.AllBackingOff, backoffMilliseconds: backoff };
   }
-  if (roomIn !== undefined) {
-    return { kind: ServerChoiceKind.AllLimited, roomInMilliseconds: roomIn };
+  if (limitedFor !== undefined) {
+    return { kind: ServerChoiceKind.AllLimited, limitedForMilliseconds: limitedFor };
   }
   if (brokenFor < 0) return { kind: ServerChoiceKind.NoneLeft };
   return { kind: ServerChoiceKind.AllBroken, brokenForMilliseconds: brokenFor };
--- a/packages/routing/src/plan-subset.ts
+++ b/packages/routing/src/plan-subset.ts
@@ -24,23 +24,25 @@
   if (members.length <= size) return new Set(members.map((member) => member.instanceId));
   const byZone = new Map<string, string[]>();
   for (const member of members) {
-    const names = byZone.get(member.availabilityZone) ?? [];
-    names.push(member.instanceId);
-    byZone.set(member.availabilityZone, names);
+    const instanceIds = byZone.get(member.availabilityZone) ?? [];
+    instanceIds.push(member.instanceId);
+    byZone.set(member.availabilityZone, instanceIds);
   }
-  const own = rendezvousOrder(entryId, byZone.get(ownZone) ?? []);
+  const ownZoneServers = rendezvousOrder(entryId, byZone.get(ownZone) ?? []);
   byZone.delete(ownZone);
-  const others = [...byZone.values()].map((names) => rendezvousOrder(entryId, names));
-  const chosen = new Set(own.splice(0, Math.ceil(size / 2)));
-  while (chosen.size < size) {
-    const before = chosen.size;
-    for (const names of others) {
-      const next = names.shift();
-      if (next !== undefined && chosen.size < size) chosen.add(next);
+  const otherZones = [...byZone.values()].map((instanceIds) =>
+    rendezvousOrder(entryId, instanceIds),
+  );
+  const subset = new Set(ownZoneServers.splice(0, Math.ceil(size / 2)));
+  while (subset.size < size) {
+    const sizeBefore = subset.size;
+    for (const instanceIds of otherZones) {
+      const next = instanceIds.shift();
+      if (next !== undefined && subset.size < size) subset.add(next);
     }
-    if (chosen.size > before) continue;
-    for (const name of own.splice(0, size - chosen.size)) chosen.add(name);
+    if (subset.size > sizeBefore) continue;
+    for (const instanceId of ownZoneServers.splice(0, size - subset.size)) subset.add(instanceId);
     break;
   }
-  return chosen;
+  return subset;
 }
--- a/packages/routing/src/retry-budget.ts
+++ b/packages/routing/src/retry-budget.ts
@@ -5,20 +5,20 @@
  */
 export interface RetryBudget {
   /** Counts a first attempt. */
-  earn(): void;
+  deposit(): void;
   /** Takes one retry; false when the budget is spent. */
-  spend(): boolean;
+  tryWithdraw(): boolean;
 }
 
-const RESERVE = 10;
+const DEFAULT_RESERVE = 10;
 
-export function createRetryBudget(ratio: number, reserve = RESERVE): RetryBudget {
+export function createRetryBudget(ratio: number, reserve = DEFAULT_RESERVE): RetryBudget {
   let balance = reserve;
   return {
-    earn() {
+    deposit() {
       balance = Math.min(balance + ratio, reserve * 10);
     },
-    spend() {
+    tryWithdraw() {
       if (balance < 1) return false;
       balance -= 1;
       return true;
--- a/packages/routing/src/routing.test.ts
+++ b/packages/routing/src/routing.test.ts
@@ -38,7 +38,7 @@
     affinityKey: '',
     estimatedTokens: 10,
     excluded: new Set(),
-    turn: 0,
+    roundRobinIndex: 0,
     policy: {
       choiceRule: ChoiceRule.Estimated,
       hopCostMilliseconds: 2,
@@ -67,27 +67,27 @@
     expect(chosen(input([candidate('a1', {}, 25), candidate('a2', { running: 8 })]))).toBe('a2');
   });
 
-  it('keeps requests with a shared preamble together until the favourite is loaded', () => {
+  it('keeps requests with a shared preamble together until the preferred is loaded', () => {
     const servers = ['a1', 'a2', 'a3', 'a4'].map((name) => candidate(name));
-    const favourite = chosen(input(servers, { affinityKey: 'preamble' }));
+    const preferred = chosen(input(servers, { affinityKey: 'preamble' }));
     const busy = servers.map((one) =>
-      one.instanceId === favourite ? candidate(favourite, { running: 9 }) : one,
+      one.instanceId === preferred ? candidate(preferred, { running: 9 }) : one,
     );
     const choice = planChoice(input(busy, { affinityKey: 'preamble' }));
     if (choice.kind !== ChoiceKind.Chosen) throw new Error('none chosen');
     expect(choice.reason).toBe(ChoiceReason.LeastEstimatedTime);
-    expect(choice.candidate.instanceId).not.toBe(favourite);
+    expect(choice.candidate.instanceId).not.toBe(preferred);
   });
 
   it('does not follow affinity to a slow server', () => {
     // One runner steps four times slower than the others. Affinity that ignored it would hold
     // back every request that shares a preamble with the first one sent there.
     const servers = ['a1', 'a2', 'a3', 'a4'].map((name) => candidate(name));
-    const favourite = chosen(input(servers, { affinityKey: 'preamble' }));
+    const preferred = chosen(input(servers, { affinityKey: 'preamble' }));
     const slow = servers.map((one) =>
-      one.instanceId === favourite ? candidate(favourite, { stepMilliseconds: 80 }) : one,
+      one.instanceId === preferred ? candidate(preferred, { stepMilliseconds: 80 }) : one,
     );
-    expect(chosen(input(slow, { affinityKey: 'preamble' }))).not.toBe(favourite);
+    expect(chosen(input(slow, { affinityKey: 'preamble' }))).not.toBe(preferred);
   });
 
   it('gives work to a server whose speed is not known', () => {
@@ -158,8 +158,8 @@
     const budget = createRetryBudget(0.1, 5);
     let retries = 0;
     for (let request = 0; request < 1000; request += 1) {
-      budget.earn();
-      if (budget.spend()) retries += 1;
+      budget.deposit();
+      if (budget.tryWithdraw()) retries += 1;
     }
     expect(retries).toBeGreaterThanOrEqual(100);
     expect(retries).toBeLessThanOrEqual(106);
--- a/packages/routing/src/stale-reports.test.ts
+++ b/packages/routing/src/stale-reports.test.ts
@@ -1,8 +1,8 @@
 import { createRandom } from '@lapisbridge/kernel';
 import { expect, it } from 'vitest';
 
-import { planServer, ServerChoiceKind } from './plan-server.js';
-import type { ServerView } from './plan-server.js';
+import { planServerChoice, ServerChoiceKind } from './plan-server-choice.js';
+import type { ServerView } from './plan-server-choice.js';
 
 const SERVERS = 63;
 const ENTRIES = 39;
@@ -12,15 +12,15 @@
 const STREAM_MILLISECONDS = 1500;
 const SECONDS = 30;
 
-interface Load {
-  readonly isGuessing: boolean;
+interface SimulationOptions {
+  readonly estimatesUnreportedArrivals: boolean;
 }
 
 /** Streams that a server gets between two reports beyond which they count as crowded. */
-const CROWD = 4;
+const CROWD_SIZE = 4;
 
 /** Share of the streams that came to a server after a crowd of others since its report. */
-function play({ isGuessing }: Load): number {
+function simulate({ estimatesUnreportedArrivals }: SimulationOptions): number {
   const random = createRandom(11);
   const running: number[][] = Array.from({ length: SERVERS }, () => []);
   const reported = running.map(() => 0);
@@ -48,23 +48,23 @@
       availabilityZone: 'zone',
       slots: SLOTS,
       outstanding: (reported[index] ?? 0) + (own[entry]?.[index] ?? 0),
-      expected: 0,
-      unreadTokens: 0,
-      typicalMilliseconds: 200,
-      reportAge: REPORT_MILLISECONDS / 2,
-      suspicion: 0,
-      roomInMilliseconds: 0,
+      expectedOutstanding: 0,
+      pendingPrefillTokens: 0,
+      typicalResponseMilliseconds: 200,
+      reportAgeMilliseconds: REPORT_MILLISECONDS / 2,
+      decayedFailures: 0,
+      limitedForMilliseconds: 0,
       backoffMilliseconds: 0,
       brokenForMilliseconds: undefined,
       isSilent: false,
     }));
-    const guess = (REQUESTS_PER_SECOND * REPORT_MILLISECONDS) / 2000;
-    const choice = planServer({
+    const estimatedArrivals = (REQUESTS_PER_SECOND * REPORT_MILLISECONDS) / 2000;
+    const choice = planServerChoice({
       views,
       ownZone: 'zone',
       excluded: new Set(),
-      readTokensPerMillisecond: 75,
-      unseenArrivals: isGuessing ? guess : 0,
+      prefillTokensPerMillisecond: 75,
+      unreportedArrivals: estimatesUnreportedArrivals ? estimatedArrivals : 0,
       random,
     });
     if (choice.kind !== ServerChoiceKind.Chosen) throw new Error(choice.kind);
@@ -72,7 +72,7 @@
     const ends = running[chosen] ?? [];
     sent += 1;
     arrived[chosen] = (arrived[chosen] ?? 0) + 1;
-    if ((arrived[chosen] ?? 0) > CROWD) crowded += 1;
+    if ((arrived[chosen] ?? 0) > CROWD_SIZE) crowded += 1;
     ends.push(now + STREAM_MILLISECONDS);
     const sends = own[entry];
     if (sends !== undefined) sends[chosen] = (sends[chosen] ?? 0) + 1;
@@ -85,6 +85,6 @@
   // reports again; the last of a dozen streams waits there for two seconds, and callers leave.
   // Streams of this load that come to a server after four others: 20.7% when all servers are
   // compared, 0.8% when as many are as the guess allows.
-  expect(play({ isGuessing: false })).toBeGreaterThan(0.15);
-  expect(play({ isGuessing: true })).toBeLessThan(0.02);
+  expect(simulate({ estimatesUnreportedArrivals: false })).toBeGreaterThan(0.15);
+  expect(simulate({ estimatesUnreportedArrivals: true })).toBeLessThan(0.02);
 });
