--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Decisions of an entry about where a request goes.
+ * Load balancing of an entry: choice of a backend server, connection subsets and the retry budget.
  */
 export {
   ChoiceKind,
--- a/packages/routing/src/plan-choice.ts
+++ b/packages/routing/src/plan-choice.ts
@@ -1,18 +1,21 @@
 /**
- * Chooses a backend server for one request. Pure: the caller passes what it knows and a
- * source of randomness, and gets a decision with its reasons.
+ * Chooses a backend server for one request among those whose sidecars this entry is connected to.
+ * Pure: the caller passes what it knows of the servers and a source of randomness, and gets a
+ * decision with its reasons.
  */
 import { ChoiceRule } from '@lapisbridge/types';
 import type { LoadReport } from '@lapisbridge/types';
 
 import { rendezvousWeight } from './rendezvous.js';
 
-/** What an entry knows of one backend server. Reports lag; `changeSinceReport` corrects them. */
+/**
+ * What an entry knows of one backend server. Reports lag, and `changeSinceReport` corrects them.
+ */
 export interface Candidate {
   readonly instanceId: string;
   readonly availabilityZone: string;
   readonly load: LoadReport;
-  /** How many more requests of this entry are there now than at the report; it may be negative. */
+  /** Change in this entry's own requests at the server since the report; it may be negative. */
   readonly changeSinceReport: number;
 }
 
@@ -26,16 +29,17 @@
 export interface ChoiceInput {
   readonly candidates: readonly Candidate[];
   readonly ownZone: string;
-  /** Leading part of the prompt; empty turns affinity off. */
+  /** Leading part of the prompt; an empty key turns affinity off. */
   readonly affinityKey: string;
   readonly estimatedTokens: number;
-  /** Servers that this request has already tried. */
+  /** Instance ids of the servers that this request has already tried. */
   readonly excluded: ReadonlySet<string>;
   readonly policy: ChoicePolicy;
-  /** Zone whose servers are avoided while others have room; empty for none. */
+  /** Zone whose servers are avoided while others have capacity; empty for none. */
   readonly avoidedZone: string;
-  /** Number of the choice at this entry, for choosing in turn. */
+  /** Number of choices that this entry has made, for round robin. */
   readonly roundRobinIndex: number;
+  /** Uniform in [0, 1). */
   readonly random: () => number;
 }
 
@@ -66,10 +70,12 @@
     }
   | { readonly kind: ChoiceKind.NoneLeft; readonly tried: number };
 
-/** Affinity is not worth a server this many times slower than the fastest. */
+/**
+ * Affinity is not followed to a server that is more than this many times slower than the fastest.
+ */
 const MAXIMUM_AFFINITY_SLOWDOWN = 2;
 
-/** Smallest known step time; 1 ms when none is known, so that loads still compare. */
+/** Smallest known step time; 1 ms when none is known, so that loads can still be compared. */
 function findFastestStepMilliseconds(candidates: readonly Candidate[]): number {
   let fastest = Infinity;
   for (const { load } of candidates) {
@@ -78,26 +84,26 @@
   return fastest === Infinity ? 1 : fastest;
 }
 
-/** Share of the server's limit in use, above 1 when requests queue there. */
+/** Share of the server's concurrency limit in use; above 1 when requests are queued there. */
 export function occupancyOf(candidate: Candidate): number {
   const { running, queued, limit } = candidate.load;
   return (running + queued + candidate.changeSinceReport) / Math.max(1, limit);
 }
 
-/** Share of its limit from which a server counts as likely to make a request wait. */
+/** Share of its limit above which a server is likely to make a request wait. */
 const NEARLY_FULL_OCCUPANCY = 0.8;
 
 /**
- * Estimated milliseconds until the last token. Well below its limit a server only decodes;
- * above it, each whole limit's worth of requests ahead adds one answer's time. Other entries
- * choose at the same moment, so the wait counts in from a little below the limit.
+ * Estimated milliseconds until the last token. Well below its limit a server makes a request wait
+ * for nothing but decoding; above it, each full set of requests ahead adds the time of one answer.
+ * Other entries choose at the same time, so waiting is counted from slightly below the limit.
  */
 export function estimateMilliseconds(
   candidate: Candidate,
   input: ChoiceInput,
   fastestStepMilliseconds: number,
 ): number {
-  // A server of unknown speed counts as the fastest, so that it gets the work that shows its speed.
+  // A server of unknown speed counts as the fastest, so that it gets requests to be measured by.
   const stepMilliseconds = candidate.load.stepMilliseconds || fastestStepMilliseconds;
   const decodeMilliseconds = stepMilliseconds * Math.max(1, input.estimatedTokens);
   const occupancy = occupancyOf(candidate);
@@ -110,11 +116,12 @@
   return decodeMilliseconds + waitMilliseconds + contentionMilliseconds + hopMilliseconds;
 }
 
-/** Share of its limit that one request takes. */
+/** Share of the server's limit that one request takes. */
 function occupancyPerRequest({ load }: Candidate): number {
   return 1 / Math.max(1, load.limit);
 }
 
+/** The server that rendezvous hashing assigns to the key. */
 function findAffinityCandidate(
   candidates: readonly Candidate[],
   affinityKey: string,
@@ -131,7 +138,7 @@
   return best;
 }
 
-/** Affinity may not overload its favourite: it yields above a multiple of the mean load. */
+/** Consistent hashing with bounded loads: affinity is dropped above a multiple of the mean load. */
 function isWithinBoundedLoad(
   preferred: Candidate,
   candidates: readonly Candidate[],
@@ -208,7 +215,9 @@
   };
 }
 
-/** Ties go to a random one: entries that all took the first would send their requests together. */
+/**
+ * Breaks ties at random: entries that all took the first would send their requests to one server.
+ */
 function indexOfSmallest(values: readonly number[], random: () => number): number {
   const start = Math.floor(random() * values.length);
   let smallest = start;
@@ -234,8 +243,8 @@
 }
 
 /**
- * A streamed answer survives the loss of its entry or of its sidecar, and not of both at once.
- * So its sidecar is taken from another zone than the entry's while one there has room.
+ * Prefers servers outside a zone while one there has capacity. A streamed answer survives the loss
+ * of its entry or of its sidecar, but not of both, so they should not be in the same zone.
  */
 function preferOtherZones(
   available: readonly Candidate[],
@@ -250,6 +259,7 @@
   return outside.length > 0 ? outside : available;
 }
 
+/** Returns `NoneLeft` when every candidate has been tried. */
 export function planChoice(input: ChoiceInput): Choice {
   const { candidates, excluded, policy } = input;
   const available = candidates.filter((candidate) => !excluded.has(candidate.instanceId));
--- a/packages/routing/src/plan-server-choice.test.ts
+++ b/packages/routing/src/plan-server-choice.test.ts
@@ -35,39 +35,40 @@
 }
 
 describe('choosing a server that is called directly', () => {
-  it('prefers room to the own zone, and the own zone when equal', () => {
+  it('prefers capacity to its own zone, and its own zone when loads are equal', () => {
     expect(choose([view('far', { availabilityZone: 'other' }), view('near')])).toBe('near');
     const full = view('near', { outstanding: 16 });
     expect(choose([view('far', { availabilityZone: 'other' }), full])).toBe('far');
   });
 
-  it('counts prompts that are sent there and not read yet', () => {
+  it('counts prompts that await prefill', () => {
     expect(choose([view('reading', { pendingPrefillTokens: 2000 }), view('free')])).toBe('free');
   });
 
-  it('uses a server that fails only when no other is left', () => {
-    // A grey server answers fast with errors, so by its load alone it would draw every request.
+  it('uses a failing server only when no other is left', () => {
+    // A server with a gray failure answers fast with errors, so that its low load alone would
+    // attract every request.
     const grey = view('grey', { decayedFailures: 2, typicalResponseMilliseconds: 20 });
     expect(choose([grey, view('sound', { outstanding: 4 })])).toBe('sound');
     expect(choose([grey, view('sound')], ['sound'])).toBe('grey');
   });
 
-  it('passes over a silent server even where all others are full', () => {
-    // Guards against taking a server that has stopped for one with room.
+  it('skips a silent server even when all others are full', () => {
+    // Guards against choosing a server that has stopped because it looks idle.
     const silent = view('silent', { isSilent: true });
     expect(choose([silent, view('busy', { outstanding: 12 })])).toBe('busy');
     expect(choose([silent, view('busy')], ['busy'])).toBe(ServerChoiceKind.AllCrowded);
   });
 
-  it('passes over servers that back off, and says until when where no other is left', () => {
-    // Guards against sending to a server that has asked for rest since it looks idle.
+  it('skips servers that back off, and returns the shortest backoff when no other is left', () => {
+    // Guards against choosing a server that has asked for a backoff because it looks idle.
     const short = view('short', { backoffMilliseconds: 700 });
     const long = view('long', { backoffMilliseconds: 3000 });
     expect(choose([short, view('busy', { outstanding: 12 })])).toBe('busy');
     expect(choose([short, view('cold', { limitedForMilliseconds: 200 })])).toBe(
       ServerChoiceKind.AllLimited,
     );
-    // One that this entry is not to send to at all is limited, whatever it asks for.
+    // A server that this entry may not send to at all counts as limited, even if it also backs off.
     const foreign = view('foreign', { backoffMilliseconds: 700, limitedForMilliseconds: Infinity });
     expect(choose([foreign])).toBe(ServerChoiceKind.AllLimited);
     const choice = planServerChoice({
@@ -81,9 +82,9 @@
     expect(choice).toEqual({ kind: ServerChoiceKind.AllBackingOff, backoffMilliseconds: 700 });
   });
 
-  it('passes over servers whose group stands still, and says so when no other is left', () => {
-    // A request sent to a group that stands still hangs or is refused, while a second group of
-    // the same service could have answered it.
+  it('skips servers of broken groups, and says so when no other is left', () => {
+    // A request sent to a broken group hangs or is refused, while another group of the same service
+    // could have answered it.
     const broken = view('broken', { brokenForMilliseconds: 5 });
     expect(choose([broken, view('open', { outstanding: 8 })])).toBe('open');
     expect(choose([broken])).toBe(ServerChoiceKind.AllBroken);
@@ -92,7 +93,7 @@
     );
   });
 
-  it('tells servers that are limited from servers that are not there', () => {
+  it('distinguishes limited servers from no servers', () => {
     expect(choose([view('cold', { limitedForMilliseconds: 200 })])).toBe(
       ServerChoiceKind.AllLimited,
     );
--- a/packages/routing/src/plan-server-choice.ts
+++ b/packages/routing/src/plan-server-choice.ts
@@ -1,36 +1,38 @@
 /**
- * Chooses the backend server that answers a request soonest, for servers that anyone may call
- * directly. Pure: what is known of each server comes in with its corrections, a decision with
- * its reason comes out. Made for loads between idle and full queues; beyond that `fits`
- * leaves servers out, and the caller decides what becomes of the request.
+ * Chooses the backend server with the lowest estimated response time, for servers that every entry
+ * calls directly. Pure: the corrected load of each server goes in, a decision with its reason comes
+ * out. The cost estimate holds for loads between idle and full queues. Beyond that
+ * `canServeInTime` excludes servers, and the caller decides what happens to the request.
  */
 import { pickSome } from '@lapisbridge/kernel';
 
+/** What an entry knows of one backend server. */
 export interface ServerView {
   readonly instanceId: string;
   readonly availabilityZone: string;
+  /** Requests that the server runs at once. */
   readonly slots: number;
-  /** Requests running and waiting there: the last report, corrected by what was sent since. */
+  /** Requests running and waiting at the server: its last report plus what was sent since. */
   readonly outstanding: number;
-  /** The same where every other entry has sent as many as this one since the report. */
+  /** The same, assuming that every other entry has sent as many as this one since the report. */
   readonly expectedOutstanding: number;
-  /** Prompt tokens sent there by this entry that are not read yet, as far as it can tell. */
+  /** Prompt tokens that this entry has sent and that, as far as it can tell, await prefill. */
   readonly pendingPrefillTokens: number;
-  /** Typical time of one answer or first event, in milliseconds; 0 when unknown. */
+  /** Typical milliseconds until a whole answer, or the first event of a stream; 0 when unknown. */
   readonly typicalResponseMilliseconds: number;
-  /** Age of the report in milliseconds; undefined where there is none to go by. */
+  /** Age of the last report; undefined when there is none, or it is too old to use. */
   readonly reportAgeMilliseconds: number | undefined;
-  /** Whether it gives no sign of life while most of its service do. */
+  /** Whether nothing is heard of the server while most servers of its service are heard. */
   readonly isSilent: boolean;
-  /** Recent failures, decayed; 0 for a sound server. */
+  /** Exponentially decayed count of recent failures; 0 for a healthy server. */
   readonly decayedFailures: number;
-  /** Milliseconds until the own shares of the server's bounds allow one more request; 0 for now. */
+  /** Milliseconds until this entry's share of the server's limits allows a request; 0 for now. */
   readonly limitedForMilliseconds: number;
-  /** Milliseconds for which the server has asked to be sent nothing; 0 where it has not. */
+  /** Remaining milliseconds of the backoff that the server has asked for; 0 when there is none. */
   readonly backoffMilliseconds: number;
   /**
-   * For how long its lock-step group has stood still, in milliseconds; undefined while it runs.
-   * Until the group forms anew the server can run nothing.
+   * Milliseconds for which the server's lock-step group has been broken; undefined while it runs.
+   * The server can run nothing until the group forms again.
    */
   readonly brokenForMilliseconds: number | undefined;
 }
@@ -38,29 +40,31 @@
 export interface ServerChoiceInput {
   readonly views: readonly ServerView[];
   readonly ownZone: string;
+  /** Instance ids of servers that are not to be chosen. */
   readonly excluded: ReadonlySet<string>;
   readonly prefillTokensPerMillisecond: number;
   /**
-   * Requests that other entries have sent to the service since the servers' reports were made,
-   * as far as this entry can guess; 0 where nobody else sends.
+   * Estimated number of requests that other entries have sent to the service since the servers'
+   * reports were made; 0 where no other entry sends.
    */
   readonly unreportedArrivals: number;
-  /** Whether a server can take the request in time for its caller; others are left out. */
+  /** Whether a server can take the request in time for its caller; others are excluded. */
   readonly canServeInTime?: (view: ServerView) => boolean;
+  /** Uniform in [0, 1). */
   readonly random: () => number;
 }
 
 export enum ServerChoiceKind {
   Chosen = 'chosen',
-  /** No server is known, or all were tried. */
+  /** No server is known, or all have been tried. */
   NoneLeft = 'noneLeft',
-  /** Servers are there, and the own share of each one's bounds is used up for now. */
+  /** This entry has used up its share of every remaining server's limits for now. */
   AllLimited = 'allLimited',
-  /** Servers are there, and those with room have asked to be sent nothing for now. */
+  /** Every remaining server within its limits has asked for a backoff. */
   AllBackingOff = 'allBackingOff',
-  /** Every server that could be sent to is too full for this request, or gives no sign of life. */
+  /** Every server that may be sent to is too loaded for this request, or silent. */
   AllCrowded = 'allCrowded',
-  /** The groups of all servers that are left stand still. */
+  /** The lock-step groups of all remaining servers are broken. */
   AllBroken = 'allBroken',
 }
 
@@ -70,40 +74,42 @@
   | { readonly kind: ServerChoiceKind.AllCrowded }
   | {
       readonly kind: ServerChoiceKind.AllLimited;
-      /** Until the first of them takes one more; infinite where none will. */
+      /** Until the first server may be sent a request; infinite when none ever may. */
       readonly limitedForMilliseconds: number;
     }
   | {
       readonly kind: ServerChoiceKind.AllBackingOff;
-      /** Until the first of them may be sent to. */
+      /** Until the first backoff ends. */
       readonly backoffMilliseconds: number;
     }
   | {
       readonly kind: ServerChoiceKind.AllBroken;
-      /** Of the group that has stood still for longest, and is likely to be back first. */
+      /** Of the group that has been broken longest, and is likely to form again first. */
       readonly brokenForMilliseconds: number;
     };
 
-/** Time of one answer where none is known yet, in milliseconds: between a booking and a draft. */
+/** Assumed response time while none is known: between those of a booking and of a draft. */
 const DEFAULT_RESPONSE_MILLISECONDS = 50;
-/** What a hop to another zone costs and back, in milliseconds: twice the usual 1.4 one way. */
+/** Round trip to another zone: about twice the usual 1.4 ms one way. */
 const ZONE_ROUND_TRIP_MILLISECONDS = 3;
 /**
- * Weight of one recent failure, in answers of the slowest server: one that fails half is used
- * last. A failing server often answers at once, so that its own times would hide its failures
- * and draw every request to it.
+ * Cost of one recent failure, in response times of the slowest server, so that a server that fails
+ * half of its requests is used last. A failing server often answers at once: its own response time
+ * would hide the failures and attract every request.
  */
 const FAILURE_WEIGHT = 3;
-/** Two sound ones remain where one of the compared servers fails. */
+/** If one of the compared servers fails, two healthy ones remain. */
 const MINIMUM_SAMPLE_SIZE = 3;
-/** Spread of ties, in milliseconds, so that entries do not all take the same server. */
+/**
+ * Upper bound of the random part of a cost, which keeps entries from all choosing the same server.
+ */
 const TIE_JITTER_MILLISECONDS = 2;
 
 function typicalResponseOf(view: ServerView): number {
   return view.typicalResponseMilliseconds || DEFAULT_RESPONSE_MILLISECONDS;
 }
 
-/** `slowest` is the longest typical answer of the service's servers, in milliseconds. */
+/** `slowestResponseMilliseconds` is the longest typical response time of the service's servers. */
 function estimateCostMilliseconds(
   view: ServerView,
   slowestResponseMilliseconds: number,
@@ -111,7 +117,8 @@
 ): number {
   const typical = typicalResponseOf(view);
   const occupancy = view.outstanding / Math.max(1, view.slots);
-  // Below its slots a server shares its speed; above them each full set waits one answer more.
+  // Up to its slots, a server divides its speed among requests; each further full set of requests
+  // adds the wait for an answer.
   const wait = typical * (occupancy + Math.max(0, occupancy - 1) * 2);
   const prefill = view.pendingPrefillTokens / Math.max(1, input.prefillTokensPerMillisecond);
   const hop = view.availabilityZone === input.ownZone ? 0 : ZONE_ROUND_TRIP_MILLISECONDS;
@@ -120,17 +127,17 @@
 }
 
 /**
- * How many of the usable servers are compared. All entries read the same reports, and whichever
- * server looks idle is sent to by all of them until the next report: with 39 entries, 63 servers
- * and reports 0.3 s old, 13 requests went to a server within 0.2 s and the last of them waited
- * for 2 s, while servers beside it were idle (338 of 4,642 streams of a day waited over 0.8 s for
- * their first event). Comparing few at random leaves the least loaded server about one request
- * that nobody else knows of.
+ * How many of the usable servers to compare. All entries read the same reports, so all of them send
+ * to whichever server looks idle until its next report. With 39 entries, 63 servers and reports
+ * 0.3 s old, 13 requests reached one server within 0.2 s and the last of them waited for 2 s while
+ * other servers were idle: 338 of 4,642 streams of a day waited over 0.8 s for their first event.
+ * Comparing a small random sample leaves the least loaded server about one unreported request.
  */
 function planSampleSize(usable: number, unreportedArrivals: number): number {
   return Math.max(MINIMUM_SAMPLE_SIZE, Math.ceil(usable / (unreportedArrivals + 1)));
 }
 
+/** Chooses among the servers that may be sent to now; otherwise says why none may. */
 export function planServerChoice(input: ServerChoiceInput): ServerChoice {
   const usable: ServerView[] = [];
   let limitedFor: number | undefined;
@@ -151,7 +158,7 @@
       limitedFor = Math.min(limitedFor ?? Infinity, view.limitedForMilliseconds);
       continue;
     }
-    // It takes connections even when it has stopped, and what it took runs when it goes on.
+    // A stopped server still accepts connections, and runs what it accepted once it resumes.
     if (view.isSilent || input.canServeInTime?.(view) === false) {
       isAnyCrowded = true;
       continue;
--- a/packages/routing/src/plan-subset.ts
+++ b/packages/routing/src/plan-subset.ts
@@ -1,7 +1,7 @@
 /**
- * Plans which backend servers an entry keeps connections to. With many entries and many
- * servers, all-to-all connections would cost each process memory and heartbeats in
- * proportion to the fleet; a subset keeps the cost fixed.
+ * Deterministic subsetting: plans which backend servers an entry keeps connections to. If every
+ * entry were connected to every server, the memory and heartbeats of each process would grow with
+ * the fleet; a subset keeps them constant.
  */
 import { rendezvousOrder } from './rendezvous.js';
 
@@ -11,9 +11,9 @@
 }
 
 /**
- * Takes up to `size` members: half from the entry's own zone, the rest in turn from the
- * other zones, so that the loss of any one zone leaves servers to go on with. What a zone
- * cannot fill is filled from the others.
+ * Returns the instance ids of up to `size` members: half from the entry's own zone, the rest in
+ * turn from the other zones, so that servers remain after the loss of any one zone. Where one zone
+ * has too few servers, the others fill its share.
  */
 export function planSubset(
   entryId: string,
--- a/packages/routing/src/rendezvous.ts
+++ b/packages/routing/src/rendezvous.ts
@@ -1,6 +1,6 @@
 /**
- * Rendezvous hashing: every process ranks the same names in the same order for a key, with
- * no shared table, and the loss of one name moves only the keys that were on it.
+ * Rendezvous hashing: every process ranks the same names in the same order for a key without a
+ * shared table, and the loss of a name moves only the keys that were assigned to it.
  */
 import createXxhash from 'xxhash-wasm';
 
@@ -10,7 +10,7 @@
   return xxhash.h32(`${key}\u0000${name}`);
 }
 
-/** Names in order of preference for a key. */
+/** Names in order of preference for a key; equal weights are ordered by name. */
 export function rendezvousOrder(key: string, names: readonly string[]): string[] {
   const weighted = names.map((name) => ({ name, weight: rendezvousWeight(key, name) }));
   weighted.sort((left, right) => right.weight - left.weight || (left.name < right.name ? -1 : 1));
--- a/packages/routing/src/retry-budget.ts
+++ b/packages/routing/src/retry-budget.ts
@@ -1,17 +1,19 @@
 /**
- * A budget for extra attempts. When servers refuse because they are overloaded, unlimited
- * retries multiply the load that made them refuse, and goodput collapses. Each first
- * attempt earns a share of one retry; a small reserve lets a quiet entry retry at all.
+ * Retry budget. When servers refuse requests because they are overloaded, unlimited retries
+ * multiply the load that made them refuse, and goodput collapses. Each first attempt adds a share
+ * of one retry to the budget, and an initial reserve allows retries while an entry has little
+ * traffic. Unused retries accumulate up to ten times the reserve.
  */
 export interface RetryBudget {
-  /** Counts a first attempt. */
+  /** Records a first attempt, which adds to the budget. */
   deposit(): void;
-  /** Takes one retry; false when the budget is spent. */
+  /** Takes one retry from the budget; false when the budget is used up. */
   tryWithdraw(): boolean;
 }
 
 const DEFAULT_RESERVE = 10;
 
+/** `ratio` is the number of retries that each first attempt adds. */
 export function createRetryBudget(ratio: number, reserve = DEFAULT_RESERVE): RetryBudget {
   let balance = reserve;
   return {
--- a/packages/routing/src/routing.test.ts
+++ b/packages/routing/src/routing.test.ts
@@ -62,12 +62,12 @@
   });
 
   it('counts what it has sent since the last report', () => {
-    // Reports lag. An entry that believed them alone would send every request of the next second
-    // to the server that was idle a second ago, and callers there would wait in its queue.
+    // Reports lag. An entry that used them alone would send every request of the next second to the
+    // server that was idle a second ago, and callers would wait in its queue.
     expect(chosen(input([candidate('a1', {}, 25), candidate('a2', { running: 8 })]))).toBe('a2');
   });
 
-  it('keeps requests with a shared preamble together until the preferred is loaded', () => {
+  it('keeps requests with a shared preamble together until the preferred server is loaded', () => {
     const servers = ['a1', 'a2', 'a3', 'a4'].map((name) => candidate(name));
     const preferred = chosen(input(servers, { affinityKey: 'preamble' }));
     const busy = servers.map((one) =>
@@ -80,8 +80,8 @@
   });
 
   it('does not follow affinity to a slow server', () => {
-    // One runner steps four times slower than the others. Affinity that ignored it would hold
-    // back every request that shares a preamble with the first one sent there.
+    // One server's steps take four times as long as the others'. Affinity that ignored this would
+    // delay every request that shares the preamble.
     const servers = ['a1', 'a2', 'a3', 'a4'].map((name) => candidate(name));
     const preferred = chosen(input(servers, { affinityKey: 'preamble' }));
     const slow = servers.map((one) =>
@@ -91,22 +91,24 @@
   });
 
   it('gives work to a server whose speed is not known', () => {
-    // A zone returns after an outage, its servers idle and without a step time. Judged by the
-    // document's expected time they looked slower than the busy ones and never got any work.
+    // After the outage of a zone its servers are idle and have no step time yet. When the
+    // configured time was used instead, they looked slower than the busy servers and never got any
+    // requests.
     const busy = candidate('a1', { running: 6, stepMilliseconds: 8 });
     expect(chosen(input([busy, candidate('a2', { stepMilliseconds: 0 })]))).toBe('a2');
   });
 
-  it('keeps a streamed answer out of its entry’s own zone while others have room', () => {
-    // A zone dies at once. If entry and sidecar of an answer stood in it together, nobody would
-    // hold the text that the caller already has, and the answer could not be resumed.
+  it('keeps a streamed answer out of its entry’s own zone while others have capacity', () => {
+    // A whole zone can fail at once. If both the entry and the sidecar of an answer were in it,
+    // nothing would hold the text that the caller has received, and the answer could not be
+    // resumed.
     const far = input([candidate('a1'), candidate('b1', { running: 3 })], { avoidedZone: 'a' });
     expect(chosen(far)).toBe('b1');
     const full = input([candidate('a1'), candidate('b1', { running: 9 })], { avoidedZone: 'a' });
     expect(chosen(full)).toBe('a1');
   });
 
-  it('never chooses what was tried already', () => {
+  it('never chooses a server that was already tried', () => {
     const given = input([candidate('a1')], { excluded: new Set(['a1']) });
     expect(planChoice(given)).toEqual({ kind: ChoiceKind.NoneLeft, tried: 1 });
   });
@@ -114,7 +116,7 @@
 
 describe('the subset of an entry', () => {
   it('survives the loss of any one zone and stays within its size', () => {
-    // An entry connected only to its own zone would have nowhere to go when that zone goes down.
+    // An entry connected only to its own zone would have no server left when that zone fails.
     const zones = ['a', 'b', 'c'];
     const members = fc.uniqueArray(
       fc.record({ instanceId: fc.uuid(), availabilityZone: fc.constantFrom(...zones) }),
@@ -133,7 +135,7 @@
     );
   });
 
-  it('moves few connections when one server goes', () => {
+  it('replaces only one connection when a server is removed', () => {
     const members = Array.from({ length: 60 }, (_, index) => ({
       instanceId: `server-${index}`,
       availabilityZone: 'abc'[index % 3] ?? 'a',
@@ -153,8 +155,8 @@
 
 describe('the retry budget', () => {
   it('allows a tenth of extra attempts, and a small reserve', () => {
-    // Servers refuse because they are overloaded. Unlimited retries would double the load that
-    // made them refuse, until nothing useful gets through.
+    // Servers refuse because they are overloaded. Unlimited retries would double that load, until
+    // no useful work is done.
     const budget = createRetryBudget(0.1, 5);
     let retries = 0;
     for (let request = 0; request < 1000; request += 1) {
--- a/packages/routing/src/stale-reports.test.ts
+++ b/packages/routing/src/stale-reports.test.ts
@@ -16,17 +16,17 @@
   readonly estimatesUnreportedArrivals: boolean;
 }
 
-/** Streams that a server gets between two reports beyond which they count as crowded. */
+/** Streams that a server gets between two reports above which further ones count as crowded. */
 const CROWD_SIZE = 4;
 
-/** Share of the streams that came to a server after a crowd of others since its report. */
+/** Share of the streams that reached a server after `CROWD_SIZE` others since its report. */
 function simulate({ estimatesUnreportedArrivals }: SimulationOptions): number {
   const random = createRandom(11);
   const running: number[][] = Array.from({ length: SERVERS }, () => []);
   const reported = running.map(() => 0);
-  /** What each entry has sent to each server since its report. */
+  /** Streams that each entry has sent to each server since its report. */
   const own = Array.from({ length: ENTRIES }, () => running.map(() => 0));
-  /** Streams sent to each server since its report. */
+  /** Streams that all entries have sent to each server since its report. */
   const arrived = running.map(() => 0);
   let crowded = 0;
   let sent = 0;
@@ -35,7 +35,7 @@
     const now = (step * 1000) / REQUESTS_PER_SECOND;
     for (const [index, ends] of running.entries()) {
       running[index] = ends.filter((end) => end > now);
-      // All started together, so they report together.
+      // The servers started together, so they report together.
       if (now % REPORT_MILLISECONDS < 1000 / REQUESTS_PER_SECOND) {
         reported[index] = running[index]?.length ?? 0;
         arrived[index] = 0;
@@ -81,10 +81,10 @@
 }
 
 it('does not send every entry’s requests to the server that looked idle in the last reports', () => {
-  // 39 entries read the same reports. A server that looks idle is sent to by all of them until it
-  // reports again; the last of a dozen streams waits there for two seconds, and callers leave.
-  // Streams of this load that come to a server after four others: 20.7% when all servers are
-  // compared, 0.8% when as many are as the guess allows.
+  // 39 entries read the same reports, and all send to a server that looks idle until it reports
+  // again: the last of a dozen streams waits there for two seconds, and callers leave. In this
+  // simulation 20.7% of the streams reach a server after four others when all servers are compared,
+  // and 0.8% when the sample size follows the estimate of unreported arrivals.
   expect(simulate({ estimatesUnreportedArrivals: false })).toBeGreaterThan(0.15);
   expect(simulate({ estimatesUnreportedArrivals: true })).toBeLessThan(0.02);
 });
