--- a/packages/bench/src/experiments/placement.ts
+++ b/packages/bench/src/experiments/placement.ts
@@ -3,14 +3,14 @@
  * and a full re-plan in every window, under loads that drift, jump and alternate.
  */
 import {
-  countMoves,
-  INITIAL_CAUTION,
+  countNewExperts,
+  INITIAL_THRESHOLD_FACTOR,
   initialMap,
-  planCaution,
+  planThresholdFactor,
   MapDecisionKind,
   planFullMap,
   planMap,
-  rankTimes,
+  predictRankTimes,
   skewOf,
   smoothTokens,
 } from '@lapisbridge/placement';
@@ -136,21 +136,22 @@
   let map = initialMap(EXPERTS, ranks);
   let smoothed: number[] | undefined;
   let previous: ExpertMap | undefined;
-  let caution = INITIAL_CAUTION;
+  let caution = INITIAL_THRESHOLD_FACTOR;
   const skews: number[] = [];
   const planMilliseconds: number[] = [];
   let moves = 0;
   let changes = 0;
   for (let window = 0; window < WINDOWS; window += 1) {
     const truth = withNoise(tokensAt(shape, window, order), random);
-    if (window >= LEARNING_WINDOWS) skews.push(skewOf(rankTimes(map, { tokens: truth, speeds })));
+    if (window >= LEARNING_WINDOWS)
+      skews.push(skewOf(predictRankTimes(map, { tokens: truth, speeds })));
     // The full re-plan takes each window as it is, as a planner without memory would.
     smoothed = smoothTokens(smoothed, truth, strategy === Strategy.Full ? 1 : SMOOTHING);
     const startedAt = performance.now();
-    caution = planCaution(caution, map, previous, { tokens: truth, speeds });
+    caution = planThresholdFactor(caution, map, previous, { tokens: truth, speeds });
     const next = nextMap(strategy, map, { tokens: smoothed, speeds }, policy, caution);
     planMilliseconds.push(performance.now() - startedAt);
-    const moved = countMoves(map, next);
+    const moved = countNewExperts(map, next);
     if (window >= LEARNING_WINDOWS) moves += moved;
     if (moved > 0) changes += 1;
     previous = moved > 0 ? map : undefined;
--- a/packages/group-leader/src/demand-watch.ts
+++ b/packages/group-leader/src/demand-watch.ts
@@ -5,7 +5,7 @@
 import { setImmediate } from 'node:timers/promises';
 
 import type { Logger } from '@lapisbridge/logger';
-import { planGroupMap, rankTimes, skewOf } from '@lapisbridge/placement';
+import { planGroupMap, predictRankTimes, skewOf } from '@lapisbridge/placement';
 import type { GroupMap, RankReport } from '@lapisbridge/placement';
 
 import type { Demand } from './demand.js';
@@ -69,7 +69,7 @@
   let slowest = 0;
   let mean = 0;
   for (const [set, load] of window.loads(sets, paces).entries()) {
-    const times = rankTimes(map.sets[set], load);
+    const times = predictRankTimes(map.sets[set], load);
     const setMean = times.reduce((sum, time) => sum + time, 0) / times.length;
     mean += setMean;
     slowest += setMean * skewOf(times);
@@ -131,7 +131,7 @@
     logger.decision({
       kind: 'placement',
       subject: own.group,
-      choice: decision.isWorthIt ? 'change' : 'keep',
+      choice: decision.isWorthwhile ? 'change' : 'keep',
       reason: `${decision.moves} loads`,
       facts: {
         skewBefore: Number(decision.skewBefore.toFixed(3)),
@@ -141,7 +141,7 @@
         activeVersion: own.activeVersion,
       },
     });
-    return decision.isWorthIt ? decision.map : undefined;
+    return decision.isWorthwhile ? decision.map : undefined;
   }
 
   return {
--- a/packages/group-leader/src/group-leader.ts
+++ b/packages/group-leader/src/group-leader.ts
@@ -5,12 +5,12 @@
  */
 import type { Logger } from '@lapisbridge/logger';
 import {
-  initialRollout,
+  initialRolloutState,
   leaderVersion,
   OrderOutcome,
   planHoldRollout,
   RankOrderKind,
-  reportsAfter,
+  reportsAfterOrders,
   RolloutPhase,
 } from '@lapisbridge/placement';
 import type {
@@ -86,7 +86,7 @@
   const passClock = createPassClock(now);
   const orderPacer = createOrderPacer(now);
   const orderLosses = createOrderLosses(now);
-  let state: RolloutState = initialRollout(-1);
+  let state: RolloutState = initialRolloutState(-1);
   let ledFence: number | undefined;
   let versions = 0;
   let voidingVersion = 0;
@@ -106,7 +106,7 @@
     ledFence = fence;
     versions = 0;
     voidingVersion = nextVersion(fence);
-    state = initialRollout(-1);
+    state = initialRolloutState(-1);
     maps.clear();
     orderPacer.forget();
     // Where it stopped with its machine, every wait for it would keep a held group.
@@ -219,7 +219,7 @@
   /** A version higher than the target's at any rank makes the target unreachable. */
   function dropOvertaken(reports: readonly (RankReport | undefined)[]): void {
     const { target } = state;
-    if (target === undefined || state.armsSent) return;
+    if (target === undefined || state.armsSentUnderHold) return;
     const isOvertaken = reports.some(
       (report) =>
         report !== undefined &&
@@ -258,16 +258,16 @@
     if (map === undefined) return false;
     // An old clearing version cannot void what was prepared since.
     const isOutrun = reports.some((report) => (report?.preparedVersion ?? 0) > voidingVersion);
-    if (isOutrun && (state.target === undefined || state.armsSent)) {
+    if (isOutrun && (state.target === undefined || state.armsSentUnderHold)) {
       voidingVersion = nextVersion(fence);
     }
     const input = {
       ownRank: own.rank,
       formerRank: leadership.formerRank(),
       passMilliseconds: passClock.milliseconds(),
-      roundMilliseconds,
-      orderRounds: orderLosses.rounds(own.size),
-      voiding: { version: voidingVersion, map },
+      reportRoundMilliseconds: roundMilliseconds,
+      expectedOrderAttempts: orderLosses.rounds(own.size),
+      voidingTarget: { version: voidingVersion, map },
     };
     let hasOrders = false;
     let current: readonly (RankReport | undefined)[] | undefined = reports;
@@ -283,7 +283,7 @@
       state = plan.state;
       noteProgress(plan);
       const isAccepted = await send(fence, plan.orders, { version: own.activeVersion, map });
-      current = isAccepted ? reportsAfter(current, plan.orders) : undefined;
+      current = isAccepted ? reportsAfterOrders(current, plan.orders) : undefined;
     }
     return hasOrders;
   }
@@ -297,7 +297,7 @@
     passClock.observe(own.step);
     if (late > STOOD_STILL_MILLISECONDS) {
       leadership.doubt();
-      state = initialRollout(-1);
+      state = initialRolloutState(-1);
     }
     await leadership.tend({
       group: own.group,
--- a/packages/placement/src/expert-map.ts
+++ b/packages/placement/src/expert-map.ts
@@ -31,7 +31,7 @@
 }
 
 /** Predicted time of each rank in one step, in units of tokens at full speed. */
-export function rankTimes(map: ExpertMap, load: ExpertLoad): number[] {
+export function predictRankTimes(map: ExpertMap, load: ExpertLoad): number[] {
   const replicas = countReplicas(map, load.tokens.length);
   return map.experts.map((held, rank) => {
     let tokens = 0;
@@ -47,14 +47,14 @@
 }
 
 /** For each rank, the experts that it holds after a change and not before, and has to load. */
-export function countLoads(before: ExpertMap, after: ExpertMap): number[] {
+export function countNewExpertsByRank(before: ExpertMap, after: ExpertMap): number[] {
   return after.experts.map((held, rank) => {
-    const known = new Set(before.experts[rank]);
-    return held.filter((expert) => !known.has(expert)).length;
+    const previousExperts = new Set(before.experts[rank]);
+    return held.filter((expert) => !previousExperts.has(expert)).length;
   });
 }
 
 /** Experts that are loaded for a change, over all ranks. */
-export function countMoves(before: ExpertMap, after: ExpertMap): number {
-  return countLoads(before, after).reduce((sum, count) => sum + count, 0);
+export function countNewExperts(before: ExpertMap, after: ExpertMap): number {
+  return countNewExpertsByRank(before, after).reduce((sum, count) => sum + count, 0);
 }
--- a/packages/placement/src/group-model.ts
+++ b/packages/placement/src/group-model.ts
@@ -11,7 +11,7 @@
 import { HoldEndKind } from './plan-hold-end.js';
 import type { HoldEnd } from './plan-hold-end.js';
 import { planHoldRollout } from './plan-hold-rollout.js';
-import { initialRollout, reportsAfter, RolloutPhase } from './rollout-state.js';
+import { initialRolloutState, reportsAfterOrders, RolloutPhase } from './rollout-state.js';
 import type { AddressedOrder, RolloutPlan, RolloutState } from './rollout-state.js';
 import { RankOrderKind } from './rank-report.js';
 import type { ArmedMap, GroupMap, RankOrder, RankReport } from './rank-report.js';
@@ -24,7 +24,7 @@
   highest: number;
 }
 
-interface LateOrder {
+interface DelayedOrder {
   readonly at: number;
   readonly addressed: AddressedOrder;
 }
@@ -32,10 +32,10 @@
 interface Leader {
   readonly rank: number;
   readonly formerRank: number | undefined;
-  readonly fence: number;
+  readonly fencingNumber: number;
   state: RolloutState;
-  versions: number;
-  voiding: number;
+  versionCount: number;
+  voidingVersion: number;
 }
 
 export interface ModelOptions {
@@ -47,11 +47,11 @@
    * Reports of one look are read one after the other, and passes begin and late orders are carried
    * out in between, as they are where a leader asks many ranks.
    */
-  readonly readsApart?: boolean;
+  readonly readsReportsSequentially?: boolean;
   /** As how often lost orders are expected to go out; holds are planned further ahead for it. */
-  readonly orderRounds?: number;
+  readonly expectedOrderAttempts?: number;
   /** A leader goes on from accepted orders to arm without reading all reports anew. */
-  readonly actsOnAnswers?: boolean;
+  readonly armsWithoutRereading?: boolean;
   /** How ranks end holds by themselves, each at moments of its own; they do not without it. */
   endHold?(report: RankReport): HoldEnd;
   /** Changes a plan before it is carried out; for proofs that a mechanism matters. */
@@ -60,28 +60,28 @@
 
 export interface ModelResult {
   /** A pass began while two ranks had different maps. */
-  readonly mixedAt: number | undefined;
+  readonly mixedMapsAt: number | undefined;
   /** Passes begun while no fault happened any more. */
-  readonly calmPasses: number;
+  readonly faultFreePasses: number;
   readonly rollouts: number;
   /** Orders by which ranks ended holds. */
   readonly endedHolds: number;
 }
 
 /** Chances in one tick, or for one order. */
-const LOST = 0.08;
-const LATE = 0.15;
-const DOUBLED = 0.08;
-const OUT_OF_SIGHT = 0.06;
-const LEADER_ENDS = 0.05;
-const FORMS_ANEW = 0.01;
-const NEW_TARGET = 0.4;
+const LOSS_PROBABILITY = 0.08;
+const DELAY_PROBABILITY = 0.15;
+const DUPLICATION_PROBABILITY = 0.08;
+const UNREACHABLE_PROBABILITY = 0.06;
+const LEADER_STOP_PROBABILITY = 0.05;
+const REFORMATION_PROBABILITY = 0.01;
+const NEW_TARGET_PROBABILITY = 0.4;
 /** Between the reports of two ranks that are read apart. */
-const PASS_BETWEEN = 0.15;
-const LATE_ORDER_BETWEEN = 0.3;
+const INTERLEAVED_PASS_PROBABILITY = 0.15;
+const INTERLEAVED_ORDER_PROBABILITY = 0.3;
 /** A rank looks at its hold. */
-const ENDS_HOLD = 0.3;
-const LONGEST_DELAY = 40;
+const HOLD_CHECK_PROBABILITY = 0.3;
+const MAXIMUM_DELAY_TICKS = 40;
 
 const MAP: GroupMap = { sets: [initialMap(4, 4)] };
 
@@ -91,29 +91,36 @@
   const ranks: ModelRank[] = [];
   let epoch = 1;
   let step = 0;
-  let fence = 1;
-  let mixedAt: number | undefined;
-  let calmPasses = 0;
+  let fencingNumber = 1;
+  let mixedMapsAt: number | undefined;
+  let faultFreePasses = 0;
   let rollouts = 0;
   let endedHolds = 0;
-  let late: LateOrder[] = [];
+  let delayedOrders: DelayedOrder[] = [];
 
-  function formAnew(): void {
+  function reformGroup(): void {
     ranks.length = 0;
     for (let rank = 0; rank < size; rank += 1) {
       ranks.push({ active: 0, prepared: undefined, armed: undefined, held: undefined, highest: 0 });
     }
   }
 
-  function appoint(formerRank: number | undefined): Leader {
-    fence += 1;
+  function appointLeader(formerRank: number | undefined): Leader {
+    fencingNumber += 1;
     const rank = Math.floor(random() * size);
-    const voiding = leaderVersion(fence, 1);
-    return { rank, formerRank, fence, state: initialRollout(-1), versions: 1, voiding };
+    const voidingVersion = leaderVersion(fencingNumber, 1);
+    return {
+      rank,
+      formerRank,
+      fencingNumber,
+      state: initialRolloutState(-1),
+      versionCount: 1,
+      voidingVersion,
+    };
   }
 
   /** Carries an order out as the engine would; a refused one changes nothing. */
-  function carryOut(rank: ModelRank, order: RankOrder): boolean {
+  function applyOrder(rank: ModelRank, order: RankOrder): boolean {
     if (order.epoch !== epoch) return false;
     switch (order.kind) {
       case RankOrderKind.Prepare:
@@ -143,35 +150,35 @@
   }
 
   /** Whether the order was carried out at once, as its answer then says. */
-  function deliver(addressed: AddressedOrder, now: number, isCalm: boolean): boolean {
+  function deliver(addressed: AddressedOrder, now: number, isFaultFree: boolean): boolean {
     const rank = ranks[addressed.rank];
     const chance = random();
-    const delayed = { at: now + 1 + Math.floor(random() * LONGEST_DELAY), addressed };
-    if (isCalm || chance >= LOST + LATE + DOUBLED) {
-      return carryOut(rank, addressed.order);
+    const delayedOrder = { at: now + 1 + Math.floor(random() * MAXIMUM_DELAY_TICKS), addressed };
+    if (isFaultFree || chance >= LOSS_PROBABILITY + DELAY_PROBABILITY + DUPLICATION_PROBABILITY) {
+      return applyOrder(rank, addressed.order);
     }
-    if (chance >= LOST) late.push(delayed);
-    return chance >= LOST + LATE && carryOut(rank, addressed.order);
+    if (chance >= LOSS_PROBABILITY) delayedOrders.push(delayedOrder);
+    return chance >= LOSS_PROBABILITY + DELAY_PROBABILITY && applyOrder(rank, addressed.order);
   }
 
-  function deliverLate(now: number): void {
-    const due = late.filter(({ at }) => at <= now);
-    late = late.filter(({ at }) => at > now);
+  function deliverDelayedOrders(now: number): void {
+    const due = delayedOrders.filter(({ at }) => at <= now);
+    delayedOrders = delayedOrders.filter(({ at }) => at > now);
     for (const { addressed } of due) {
-      carryOut(ranks[addressed.rank], addressed.order);
+      applyOrder(ranks[addressed.rank], addressed.order);
     }
   }
 
-  function happenBetween(now: number, isCalm: boolean): void {
-    if (random() < LATE_ORDER_BETWEEN) {
-      const next = late.shift();
-      if (next !== undefined) carryOut(ranks[next.addressed.rank], next.addressed.order);
+  function interleaveEvents(now: number, isFaultFree: boolean): void {
+    if (random() < INTERLEAVED_ORDER_PROBABILITY) {
+      const next = delayedOrders.shift();
+      if (next !== undefined) applyOrder(ranks[next.addressed.rank], next.addressed.order);
     }
-    endHolds(now, isCalm);
-    if (random() < PASS_BETWEEN) beginPass(now, isCalm);
+    endHolds(now, isFaultFree);
+    if (random() < INTERLEAVED_PASS_PROBABILITY) beginPass(now, isFaultFree);
   }
 
-  function beginPass(now: number, isCalm: boolean): void {
+  function beginPass(now: number, isFaultFree: boolean): void {
     const next = step + 1;
     if (ranks.some(({ held }) => held === next)) return;
     step = next;
@@ -182,8 +189,8 @@
         rank.prepared = undefined;
       }
     }
-    if (ranks.some(({ active }) => active !== ranks[0]?.active)) mixedAt ??= now;
-    if (isCalm) calmPasses += 1;
+    if (ranks.some(({ active }) => active !== ranks[0]?.active)) mixedMapsAt ??= now;
+    if (isFaultFree) faultFreePasses += 1;
   }
 
   function reportOf(rank: number): RankReport {
@@ -205,10 +212,10 @@
     };
   }
 
-  function endHolds(now: number, isCalm: boolean): void {
+  function endHolds(now: number, isFaultFree: boolean): void {
     if (options.endHold === undefined) return;
     for (let rank = 0; rank < size; rank += 1) {
-      if (random() >= ENDS_HOLD) continue;
+      if (random() >= HOLD_CHECK_PROBABILITY) continue;
       const end = options.endHold(reportOf(rank));
       switch (end.kind) {
         case HoldEndKind.Keep:
@@ -216,13 +223,13 @@
         case HoldEndKind.Void: {
           const { version } = end;
           const order: RankOrder = { kind: RankOrderKind.Prepare, epoch, version, map: MAP };
-          deliver({ rank, order }, now, isCalm);
+          deliver({ rank, order }, now, isFaultFree);
           break;
         }
         case HoldEndKind.Release: {
           endedHolds += 1;
           const order: RankOrder = { kind: RankOrderKind.Release, epoch, step: end.step };
-          deliver({ rank, order }, now, isCalm);
+          deliver({ rank, order }, now, isFaultFree);
           break;
         }
         default: {
@@ -234,8 +241,8 @@
   }
 
   function nextVersion(leader: Leader): number {
-    leader.versions += 1;
-    return leaderVersion(leader.fence, leader.versions);
+    leader.versionCount += 1;
+    return leaderVersion(leader.fencingNumber, leader.versionCount);
   }
 
   function planOrders(leader: Leader, reports: readonly (RankReport | undefined)[]): RolloutPlan {
@@ -245,73 +252,79 @@
       ownRank: leader.rank,
       formerRank: leader.formerRank,
       passMilliseconds: 200,
-      roundMilliseconds: 30,
-      orderRounds: options.orderRounds ?? 1,
-      voiding: { version: leader.voiding, map: MAP },
+      reportRoundMilliseconds: 30,
+      expectedOrderAttempts: options.expectedOrderAttempts ?? 1,
+      voidingTarget: { version: leader.voidingVersion, map: MAP },
     });
     const plan = options.mutate?.(planned, reports) ?? planned;
     leader.state = plan.state;
     if (plan.phase === RolloutPhase.Done) rollouts += 1;
     const isFree = plan.phase === RolloutPhase.Idle || plan.phase === RolloutPhase.Done;
-    if (isFree && leader.state.isSettled && random() < NEW_TARGET) {
+    if (isFree && leader.state.isSettled && random() < NEW_TARGET_PROBABILITY) {
       leader.state = { ...leader.state, target: { version: nextVersion(leader), map: MAP } };
     }
     return plan;
   }
 
   /** One look of a leader; false when it ended in the middle of its orders. */
-  function look(leader: Leader, now: number, isCalm: boolean): boolean {
-    const hidden = !isCalm && random() < OUT_OF_SIGHT ? Math.floor(random() * size) : -1;
-    const isFormerFrozen = !isCalm && random() < 0.5;
+  function runLeaderRound(leader: Leader, now: number, isFaultFree: boolean): boolean {
+    const unreachableRank =
+      !isFaultFree && random() < UNREACHABLE_PROBABILITY ? Math.floor(random() * size) : -1;
+    const isFormerFrozen = !isFaultFree && random() < 0.5;
     const reports = Array.from({ length: size }, (_, rank) => {
-      if (options.readsApart === true) happenBetween(now, isCalm);
-      if (rank === hidden && rank !== leader.rank) return undefined;
+      if (options.readsReportsSequentially === true) interleaveEvents(now, isFaultFree);
+      if (rank === unreachableRank && rank !== leader.rank) return undefined;
       if (isFormerFrozen && rank === leader.formerRank && rank !== leader.rank) return undefined;
       return reportOf(rank);
     });
     const { state } = leader;
-    const isOutrun = reports.some((report) => (report?.preparedVersion ?? 0) > leader.voiding);
-    if (isOutrun && (state.target === undefined || state.armsSent)) {
-      leader.voiding = nextVersion(leader);
+    const isVoidingVersionOvertaken = reports.some(
+      (report) => (report?.preparedVersion ?? 0) > leader.voidingVersion,
+    );
+    if (isVoidingVersionOvertaken && (state.target === undefined || state.armsSentUnderHold)) {
+      leader.voidingVersion = nextVersion(leader);
     }
     const highest = Math.max(...ranks.map((rank) => rank.highest));
-    if (state.target !== undefined && !state.armsSent && highest > state.target.version) {
+    if (state.target !== undefined && !state.armsSentUnderHold && highest > state.target.version) {
       leader.state = { ...state, target: undefined, heldStep: undefined };
     }
     let current: readonly (RankReport | undefined)[] | undefined = reports;
     while (current !== undefined) {
       const plan = planOrders(leader, current);
-      const endsAfter =
-        !isCalm && random() < LEADER_ENDS ? random() * plan.orders.length : Infinity;
+      const stopsAfter =
+        !isFaultFree && random() < LEADER_STOP_PROBABILITY
+          ? random() * plan.orders.length
+          : Infinity;
       let accepted = 0;
       for (const [index, order] of plan.orders.entries()) {
-        if (index >= endsAfter) return false;
-        if (deliver(order, now, isCalm)) accepted += 1;
+        if (index >= stopsAfter) return false;
+        if (deliver(order, now, isFaultFree)) accepted += 1;
       }
-      if (endsAfter !== Infinity) return false;
-      const isAccepted = options.actsOnAnswers === true && accepted === plan.orders.length;
-      current = isAccepted ? reportsAfter(current, plan.orders) : undefined;
-      if (current !== undefined && options.readsApart === true) happenBetween(now, isCalm);
+      if (stopsAfter !== Infinity) return false;
+      const isAccepted = options.armsWithoutRereading === true && accepted === plan.orders.length;
+      current = isAccepted ? reportsAfterOrders(current, plan.orders) : undefined;
+      if (current !== undefined && options.readsReportsSequentially === true)
+        interleaveEvents(now, isFaultFree);
     }
     return true;
   }
 
-  formAnew();
-  let leader = appoint(undefined);
+  reformGroup();
+  let leader = appointLeader(undefined);
   for (let now = 0; now < ticks * 2; now += 1) {
-    const isCalm = now >= ticks;
-    deliverLate(now);
-    if (!isCalm && random() < FORMS_ANEW) {
+    const isFaultFree = now >= ticks;
+    deliverDelayedOrders(now);
+    if (!isFaultFree && random() < REFORMATION_PROBABILITY) {
       epoch += 1;
       step = 0;
-      formAnew();
+      reformGroup();
     }
-    if (!look(leader, now, isCalm)) {
+    if (!runLeaderRound(leader, now, isFaultFree)) {
       // Only a leader that was heard to be settled armed its own rank last.
-      leader = appoint(leader.state.isSettled ? leader.rank : undefined);
+      leader = appointLeader(leader.state.isSettled ? leader.rank : undefined);
     }
-    endHolds(now, isCalm);
-    if (random() < 0.6) beginPass(now, isCalm);
+    endHolds(now, isFaultFree);
+    if (random() < 0.6) beginPass(now, isFaultFree);
   }
-  return { mixedAt, calmPasses, rollouts, endedHolds };
+  return { mixedMapsAt, faultFreePasses, rollouts, endedHolds };
 }
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -1,15 +1,21 @@
 /**
  * Expert maps: planning them, and bringing all ranks of a group onto one of them.
  */
-export { countMoves, countReplicas, initialMap, rankTimes, skewOf } from './expert-map.js';
+export {
+  countNewExperts,
+  countReplicas,
+  initialMap,
+  predictRankTimes,
+  skewOf,
+} from './expert-map.js';
 export type { ExpertLoad, ExpertMap } from './expert-map.js';
 export { createLease, leaseKey } from './lease.js';
 export type { HeldLease, Lease, LeaseOptions, LeaseRecord } from './lease.js';
 export { planFullMap } from './plan-full-map.js';
-export { INITIAL_CAUTION, planCaution } from './plan-caution.js';
+export { INITIAL_THRESHOLD_FACTOR, planThresholdFactor } from './plan-threshold-factor.js';
 export { MapDecisionKind, planMap } from './plan-map.js';
 export type { MapDecision, MapPolicy } from './plan-map.js';
-export { INITIAL_RANK, planRankOrder, RankStep } from './plan-rank-order.js';
+export { INITIAL_RANK_STATE, planRankOrder, RankStep } from './plan-rank-order.js';
 export type { RankDecision, RankOrderInput, RankState } from './plan-rank-order.js';
 export { createRollout, mapKey, RolloutOutcome } from './rollout.js';
 export type {
@@ -26,7 +32,7 @@
 export { HoldEndKind, isAtHold, planHoldEnd } from './plan-hold-end.js';
 export type { HoldEnd } from './plan-hold-end.js';
 export { planHoldRollout } from './plan-hold-rollout.js';
-export { initialRollout, reportsAfter, RolloutPhase } from './rollout-state.js';
+export { initialRolloutState, reportsAfterOrders, RolloutPhase } from './rollout-state.js';
 export type {
   AddressedOrder,
   RolloutInput,
--- a/packages/placement/src/lease.ts
+++ b/packages/placement/src/lease.ts
@@ -42,12 +42,12 @@
 
 export interface Lease {
   /** Renews the held lease, or takes a lapsed one over; undefined when another holds it. */
-  tend(now: number): Promise<HeldLease | undefined>;
+  renewOrAcquire(now: number): Promise<HeldLease | undefined>;
   /** Fencing number of the row as last read, also when another holds it. */
   readonly seenFencingNumber: number;
   drop(): void;
   /** A transaction of the holder has written the row once more. */
-  noteWritten(): void;
+  recordOwnWrite(): void;
 }
 
 export function createLease(options: LeaseOptions): Lease {
@@ -74,7 +74,7 @@
     get seenFencingNumber() {
       return seenFencingNumber;
     },
-    async tend(now) {
+    async renewOrAcquire(now) {
       if (held !== undefined) {
         held = await write(held.fencingNumber, held.rowVersion);
         return held;
@@ -85,15 +85,15 @@
       seenFencingNumber = Math.max(seenFencingNumber, record?.fencingNumber ?? 0);
       const rowVersion = row?.version ?? 0;
       if (watch.rowVersion !== rowVersion) watch = { rowVersion, seenAt: now };
-      const lapsed = row === null || now - watch.seenAt > leaseMilliseconds;
-      if (!lapsed) return undefined;
+      const isExpired = row === null || now - watch.seenAt > leaseMilliseconds;
+      if (!isExpired) return undefined;
       held = await write((record?.fencingNumber ?? 0) + 1, rowVersion);
       return held;
     },
     drop() {
       held = undefined;
     },
-    noteWritten() {
+    recordOwnWrite() {
       if (held !== undefined) held = { ...held, rowVersion: held.rowVersion + 1 };
     },
   };
--- a/packages/placement/src/map-version.ts
+++ b/packages/placement/src/map-version.ts
@@ -5,11 +5,11 @@
 
 /** The next leader's versions begin above these. */
 const VERSIONS_PER_FENCE = 1000;
-const STEP = 2;
+const VERSION_INCREMENT = 2;
 
 /** `count` begins at 1 with each leader. */
-export function leaderVersion(fence: number, count: number): number {
-  return fence * VERSIONS_PER_FENCE + count * STEP;
+export function leaderVersion(fencingNumber: number, count: number): number {
+  return fencingNumber * VERSIONS_PER_FENCE + count * VERSION_INCREMENT;
 }
 
 /** The version that voids a leader's. */
@@ -18,5 +18,5 @@
 }
 
 export function isVoidingVersion(version: number): boolean {
-  return version % STEP !== 0;
+  return version % VERSION_INCREMENT !== 0;
 }
--- a/packages/placement/src/plan-clearing.ts
+++ b/packages/placement/src/plan-clearing.ts
@@ -5,13 +5,13 @@
 import { RankOrderKind } from './rank-report.js';
 import type { ArmedMap, RankOrder, RankReport } from './rank-report.js';
 import {
-  holderOf,
+  holdingRankOf,
   isArmedFor,
   lowestHeldStep,
-  planArms,
-  release,
+  planArmOrders,
+  releaseOrders,
   RolloutPhase,
-  toAll,
+  selectOrders,
 } from './rollout-state.js';
 import type {
   AddressedOrder,
@@ -22,9 +22,9 @@
 } from './rollout-state.js';
 
 /** A rank that cannot be armed with anything but a version that nobody arms. */
-function isVoid(report: RankReport, voiding: RolloutTarget): boolean {
+function isVoided(report: RankReport, voidingTarget: RolloutTarget): boolean {
   if (report.armed !== undefined) return false;
-  return report.preparedVersion === undefined || report.preparedVersion === voiding.version;
+  return report.preparedVersion === undefined || report.preparedVersion === voidingTarget.version;
 }
 
 /**
@@ -34,50 +34,57 @@
  * cannot be finished any more, by any leader. A rank that holds the pass is disarmed after all
  * others are void, since it may end its hold once it is not armed.
  */
-function planVoiding(
+function voidingOrders(
   reports: readonly RankReport[],
   epoch: number,
-  voiding: RolloutTarget,
+  voidingTarget: RolloutTarget,
 ): AddressedOrder[] {
-  const isBegun = reports.some(
-    (report) => report.armed === undefined && report.preparedVersion === voiding.version,
+  const isAnyRankVoided = reports.some(
+    (report) => report.armed === undefined && report.preparedVersion === voidingTarget.version,
   );
-  const isGuarding = ({ heldStep, armed }: RankReport): boolean =>
+  const isArmedHolder = ({ heldStep, armed }: RankReport): boolean =>
     armed !== undefined && heldStep === armed.step;
-  const areOthersVoid = reports.every((report) => isGuarding(report) || isVoid(report, voiding));
-  return toAll(reports, (report) => {
+  const areOtherRanksVoided = reports.every(
+    (report) => isArmedHolder(report) || isVoided(report, voidingTarget),
+  );
+  return selectOrders(reports, (report) => {
     if (report.armed !== undefined) {
-      return isBegun && (areOthersVoid || !isGuarding(report))
+      return isAnyRankVoided && (areOtherRanksVoided || !isArmedHolder(report))
         ? { kind: RankOrderKind.Disarm, epoch, version: report.armed.version }
         : undefined;
     }
-    if (isVoid(report, voiding) && report.preparedVersion !== undefined) return undefined;
-    return { kind: RankOrderKind.Prepare, epoch, version: voiding.version, map: voiding.map };
+    if (isVoided(report, voidingTarget) && report.preparedVersion !== undefined) return undefined;
+    return {
+      kind: RankOrderKind.Prepare,
+      epoch,
+      version: voidingTarget.version,
+      map: voidingTarget.map,
+    };
   });
 }
 
-function clearing(state: RolloutState, orders: readonly AddressedOrder[]): RolloutPlan {
+function clearingPlan(state: RolloutState, orders: readonly AddressedOrder[]): RolloutPlan {
   return { phase: RolloutPhase.Clearing, orders, state };
 }
 
 /** A voided target cannot be prepared again: its version is below the voiding one. */
-function voidingPlan(
+function planVoiding(
   state: RolloutState,
   reports: readonly RankReport[],
-  voiding: RolloutTarget,
+  voidingTarget: RolloutTarget,
 ): RolloutPlan {
-  const orders = planVoiding(reports, state.epoch, voiding);
-  return clearing({ ...state, target: undefined, armsSent: false }, orders);
+  const orders = voidingOrders(reports, state.epoch, voidingTarget);
+  return clearingPlan({ ...state, target: undefined, armsSentUnderHold: false }, orders);
 }
 
 /** Releases a hold under which nothing is armed, and never uses its pass again. */
-function planSpending(
+function planAbandonedStep(
   state: RolloutState,
   reports: readonly RankReport[],
   step: number,
 ): RolloutPlan {
-  const spentSteps = new Set([...state.spentSteps, step]);
-  return clearing({ ...state, spentSteps }, release(reports, step, state.epoch));
+  const abandonedSteps = new Set([...state.abandonedSteps, step]);
+  return clearingPlan({ ...state, abandonedSteps }, releaseOrders(reports, step, state.epoch));
 }
 
 /** Ranks are armed, and this leader did not arm them under the hold that stands. */
@@ -87,13 +94,16 @@
   armed: ArmedMap,
   heldStep: number | undefined,
 ): RolloutPlan {
-  const { state, voiding } = input;
+  const { state, voidingTarget } = input;
   const { epoch } = state;
   const { version, step } = armed;
-  const isOnTheWay = (report: RankReport): boolean =>
+  const isArmedOrActive = (report: RankReport): boolean =>
     isArmedFor(report, version, step) || report.activeVersion === version;
-  if (reports.every(isOnTheWay)) {
-    return clearing(state, heldStep === undefined ? [] : release(reports, heldStep, epoch));
+  if (reports.every(isArmedOrActive)) {
+    return clearingPlan(
+      state,
+      heldStep === undefined ? [] : releaseOrders(reports, heldStep, epoch),
+    );
   }
   if (heldStep === undefined) {
     // Nothing keeps the group from the pass: hold it before anything else, at an armed rank, since
@@ -101,15 +111,18 @@
     const armedRanks = reports.filter((report) => isArmedFor(report, version, step));
     const holder = armedRanks.find(({ rank }) => rank !== input.ownRank) ?? armedRanks[0];
     const order: RankOrder = { kind: RankOrderKind.Hold, epoch, step };
-    return clearing(state, [{ rank: holder?.rank ?? holderOf(input), order }]);
+    return clearingPlan(state, [{ rank: holder?.rank ?? holdingRankOf(input), order }]);
   }
   const canFinish = reports.every(
     (report) => isArmedFor(report, version, step) || report.preparedVersion === version,
   );
   if (!canFinish || heldStep !== step) {
-    return voidingPlan(state, reports, voiding);
+    return planVoiding(state, reports, voidingTarget);
   }
-  return clearing({ ...state, mayHaveArmed: true }, planArms(input, reports, version, step));
+  return clearingPlan(
+    { ...state, armsSentSinceSettled: true },
+    planArmOrders(input, reports, version, step),
+  );
 }
 
 /** A hold that this leader did not ask for its target, or arms without one. */
@@ -118,37 +131,37 @@
   reports: readonly RankReport[],
   heldStep: number | undefined,
 ): RolloutPlan {
-  const { state, voiding } = input;
+  const { state, voidingTarget } = input;
   // Since this leader saw the group free, only it can have armed ranks, and not for this pass.
   if (state.isSettled && heldStep !== undefined && heldStep !== state.heldStep) {
-    return planSpending(state, reports, heldStep);
+    return planAbandonedStep(state, reports, heldStep);
   }
   const armed = reports.find((report) => report.armed !== undefined)?.armed;
   if (armed !== undefined) return planArmedClearing(input, reports, armed, heldStep);
-  if (heldStep === undefined) return clearing(state, []);
-  const isKnownUnarmed = state.spentSteps.has(heldStep);
-  if (isKnownUnarmed || reports.every((report) => isVoid(report, voiding))) {
-    return planSpending(state, reports, heldStep);
+  if (heldStep === undefined) return clearingPlan(state, []);
+  const isAbandonedStep = state.abandonedSteps.has(heldStep);
+  if (isAbandonedStep || reports.every((report) => isVoided(report, voidingTarget))) {
+    return planAbandonedStep(state, reports, heldStep);
   }
-  return voidingPlan(state, reports, voiding);
+  return planVoiding(state, reports, voidingTarget);
 }
 
 /** The former leader's rank is out of sight with its machine: clear what it left, no more. */
-export function planWithoutFormer(
+export function planWithoutFormerLeader(
   input: RolloutInput,
   reports: readonly RankReport[],
 ): RolloutPlan {
-  const { state, voiding } = input;
+  const { state, voidingTarget } = input;
   const heldStep = lowestHeldStep(reports);
   const armed = reports.find((report) => report.armed !== undefined)?.armed;
   const isAllArmed =
     armed !== undefined && reports.every((report) => isArmedFor(report, armed.version, armed.step));
   // With all others armed the missing rank may be armed too: only its own report can tell.
   if (heldStep === undefined || isAllArmed) {
-    return { phase: RolloutPhase.Blind, orders: [], state };
+    return { phase: RolloutPhase.IncompleteReports, orders: [], state };
   }
-  if (reports.every((report) => isVoid(report, voiding))) {
-    return planSpending(state, reports, heldStep);
+  if (reports.every((report) => isVoided(report, voidingTarget))) {
+    return planAbandonedStep(state, reports, heldStep);
   }
-  return voidingPlan(state, reports, voiding);
+  return planVoiding(state, reports, voidingTarget);
 }
--- a/packages/placement/src/plan-full-map.ts
+++ b/packages/placement/src/plan-full-map.ts
@@ -4,7 +4,7 @@
  */
 import type { ExpertLoad, ExpertMap } from './expert-map.js';
 
-function replicateHot(tokens: readonly number[], slots: number): number[] {
+function planReplicaCounts(tokens: readonly number[], slots: number): number[] {
   const replicas = tokens.map(() => 1);
   for (let spare = slots - tokens.length; spare > 0; spare -= 1) {
     let hottest = 0;
@@ -23,27 +23,30 @@
 
 export function planFullMap(load: ExpertLoad, slotsPerRank: number): ExpertMap {
   const ranks = load.speeds.length;
-  const replicas = replicateHot(load.tokens, ranks * slotsPerRank);
-  const pieces: { expert: number; share: number }[] = [];
+  const replicas = planReplicaCounts(load.tokens, ranks * slotsPerRank);
+  const replicaShares: { expert: number; share: number }[] = [];
   for (const [expert, count] of replicas.entries()) {
     const share = (load.tokens[expert] ?? 0) / count;
-    for (let replica = 0; replica < count; replica += 1) pieces.push({ expert, share });
+    for (let replica = 0; replica < count; replica += 1) replicaShares.push({ expert, share });
   }
-  pieces.sort((left, right) => right.share - left.share);
-  const held = load.speeds.map(() => new Set<number>());
+  replicaShares.sort((left, right) => right.share - left.share);
+  const expertsByRank = load.speeds.map(() => new Set<number>());
   const times = load.speeds.map(() => 0);
-  for (const { expert, share } of pieces) {
-    let best = -1;
+  for (const { expert, share } of replicaShares) {
+    let bestRank = -1;
     for (let rank = 0; rank < ranks; rank += 1) {
-      const experts = held[rank];
+      const experts = expertsByRank[rank];
       if (experts.size >= slotsPerRank || experts.has(expert)) continue;
       const time = (times[rank] ?? 0) + share / (load.speeds[rank] ?? 1);
-      if (best < 0 || time < (times[best] ?? 0) + share / (load.speeds[best] ?? 1)) best = rank;
+      if (bestRank < 0 || time < (times[bestRank] ?? 0) + share / (load.speeds[bestRank] ?? 1))
+        bestRank = rank;
     }
     // Every rank that has room holds the expert already: its tokens go to those.
-    if (best < 0) continue;
-    held[best]?.add(expert);
-    times[best] = (times[best] ?? 0) + share / (load.speeds[best] ?? 1);
+    if (bestRank < 0) continue;
+    expertsByRank[bestRank]?.add(expert);
+    times[bestRank] = (times[bestRank] ?? 0) + share / (load.speeds[bestRank] ?? 1);
   }
-  return { experts: held.map((experts) => [...experts].sort((left, right) => left - right)) };
+  return {
+    experts: expertsByRank.map((experts) => [...experts].sort((left, right) => left - right)),
+  };
 }
--- a/packages/placement/src/plan-group-map.ts
+++ b/packages/placement/src/plan-group-map.ts
@@ -6,7 +6,7 @@
  * 0.45 s of copying instead of 0.24 to 0.30 s (one day's changes on a group of twelve ranks).
  */
 import type { ExpertLoad, ExpertMap } from './expert-map.js';
-import { countLoads, rankTimes, skewOf } from './expert-map.js';
+import { countNewExpertsByRank, predictRankTimes, skewOf } from './expert-map.js';
 import { MapDecisionKind, planMap } from './plan-map.js';
 import type { MapDecision } from './plan-map.js';
 import type { GroupMap } from './rank-report.js';
@@ -27,19 +27,19 @@
   /** Most loaded rank against the mean, over all sets. */
   readonly skewBefore: number;
   readonly skewAfter: number;
-  readonly isWorthIt: boolean;
+  readonly isWorthwhile: boolean;
 }
 
 /** Skew of a set that is good enough: each further load costs a copy and gains little. */
-const FAIR_SET_SKEW = 1.3;
+const TARGET_SET_SKEW = 1.3;
 /** A set that is skewed more than this is worth more loads than are usually taken. */
-const BAD_SKEW = 1.5;
+const HIGH_SET_SKEW = 1.5;
 /**
  * Experts that one rank loads over all sets, unless a set stays badly skewed. A rank loads them
  * one after the other, and passes are longer until the last rank is done: with two the copy
  * takes half as long as with one in each of four sets.
  */
-const USUAL_LOADS = 2;
+const USUAL_NEW_EXPERTS_PER_RANK = 2;
 /** Bound of the search, far above what it takes. */
 const MAXIMUM_MOVES = 400;
 
@@ -48,23 +48,30 @@
   current: ExpertMap,
   load: ExpertLoad,
   policy: GroupMapPolicy,
-  loaded: readonly number[],
+  newExpertsByRank: readonly number[],
 ): MapDecision {
   let best: MapDecision | undefined;
-  const most = Math.max(USUAL_LOADS, ...loaded) + policy.newPerRank;
-  for (let loads = USUAL_LOADS; loads <= most; loads += 1) {
-    const loadsByRank = loaded.map((taken) => Math.min(policy.newPerRank, loads - taken));
+  const maximumNewExperts =
+    Math.max(USUAL_NEW_EXPERTS_PER_RANK, ...newExpertsByRank) + policy.newPerRank;
+  for (
+    let newExpertsPerRank = USUAL_NEW_EXPERTS_PER_RANK;
+    newExpertsPerRank <= maximumNewExperts;
+    newExpertsPerRank += 1
+  ) {
+    const maximumNewExpertsByRank = newExpertsByRank.map((alreadyLoaded) =>
+      Math.min(policy.newPerRank, newExpertsPerRank - alreadyLoaded),
+    );
     const decision = planMap(current, load, {
       slotsPerRank: policy.placesPerRank,
       maximumMoves: MAXIMUM_MOVES,
       horizonSteps: Infinity,
       minimumGain: 0,
       moveCostSteps: 0,
-      loadsByRank,
-      fairSkew: FAIR_SET_SKEW,
+      maximumNewExpertsByRank,
+      targetSkew: TARGET_SET_SKEW,
     });
     if (best === undefined || decision.skewAfter < best.skewAfter) best = decision;
-    if (best.skewAfter < BAD_SKEW) break;
+    if (best.skewAfter < HIGH_SET_SKEW) break;
   }
   return best as MapDecision;
 }
@@ -73,10 +80,10 @@
 interface GroupPlanDraft {
   readonly sets: ExpertMap[];
   /** What each rank loads for the sets planned so far. */
-  loaded: readonly number[];
-  before: number;
-  after: number;
-  mean: number;
+  newExpertsByRank: readonly number[];
+  slowestTimeBefore: number;
+  slowestTimeAfter: number;
+  meanTime: number;
   moves: number;
 }
 
@@ -86,18 +93,18 @@
   load: ExpertLoad,
   policy: GroupMapPolicy,
 ): void {
-  const decision = planSet(current, load, policy, draft.loaded);
-  const times = rankTimes(current, load);
-  const setMean = times.reduce((total, time) => total + time, 0) / times.length;
-  draft.mean += setMean;
-  draft.before += setMean * skewOf(times);
-  draft.after += setMean * decision.skewAfter;
+  const decision = planSet(current, load, policy, draft.newExpertsByRank);
+  const times = predictRankTimes(current, load);
+  const setMeanTime = times.reduce((total, time) => total + time, 0) / times.length;
+  draft.meanTime += setMeanTime;
+  draft.slowestTimeBefore += setMeanTime * skewOf(times);
+  draft.slowestTimeAfter += setMeanTime * decision.skewAfter;
   if (decision.kind === MapDecisionKind.Keep) {
     draft.sets.push(current);
     return;
   }
-  const added = countLoads(current, decision.map);
-  draft.loaded = draft.loaded.map((count, rank) => count + (added[rank] ?? 0));
+  const added = countNewExpertsByRank(current, decision.map);
+  draft.newExpertsByRank = draft.newExpertsByRank.map((count, rank) => count + (added[rank] ?? 0));
   for (const count of added) draft.moves += count;
   draft.sets.push(decision.map);
 }
@@ -111,29 +118,31 @@
   current: GroupMap,
   loads: readonly ExpertLoad[],
   policy: GroupMapPolicy,
-  pause: () => Promise<void>,
+  yieldToEventLoop: () => Promise<void>,
 ): Promise<GroupMapDecision> {
   const ranks = current.sets[0]?.experts ?? [];
   const draft: GroupPlanDraft = {
     sets: [],
-    loaded: ranks.map(() => 0),
-    before: 0,
-    after: 0,
-    mean: 0,
+    newExpertsByRank: ranks.map(() => 0),
+    slowestTimeBefore: 0,
+    slowestTimeAfter: 0,
+    meanTime: 0,
     moves: 0,
   };
   for (const [index, set] of current.sets.entries()) {
     const load = loads[index];
     if (load === undefined) throw new Error(`no load for set ${index}`);
     planNextSet(draft, set, load, policy);
-    await pause();
+    await yieldToEventLoop();
   }
-  const { sets, before, after, mean, moves } = draft;
+  const { sets, slowestTimeBefore, slowestTimeAfter, meanTime, moves } = draft;
   return {
     map: { sets },
     moves,
-    skewBefore: mean === 0 ? 1 : before / mean,
-    skewAfter: mean === 0 ? 1 : after / mean,
-    isWorthIt: before > 0 && (before - after) / before >= policy.minimumGain,
+    skewBefore: meanTime === 0 ? 1 : slowestTimeBefore / meanTime,
+    skewAfter: meanTime === 0 ? 1 : slowestTimeAfter / meanTime,
+    isWorthwhile:
+      slowestTimeBefore > 0 &&
+      (slowestTimeBefore - slowestTimeAfter) / slowestTimeBefore >= policy.minimumGain,
   };
 }
--- a/packages/placement/src/plan-hold-end.test.ts
+++ b/packages/placement/src/plan-hold-end.test.ts
@@ -5,7 +5,7 @@
 import type { RankReport } from './rank-report.js';
 
 const PREPARED = leaderVersion(5, 3);
-const STANDING: RankReport = {
+const HOLDING: RankReport = {
   group: 'group',
   rank: 1,
   size: 4,
@@ -24,13 +24,13 @@
 describe('a rank at which a hold stands', () => {
   it('voids its prepared map before it releases the hold', () => {
     const version = voidingVersionOf(PREPARED);
-    expect(planHoldEnd(STANDING, 1000)).toEqual({ kind: HoldEndKind.Void, version });
-    const voided = { ...STANDING, preparedVersion: version };
+    expect(planHoldEnd(HOLDING, 1000)).toEqual({ kind: HoldEndKind.Void, version });
+    const voided = { ...HOLDING, preparedVersion: version };
     expect(planHoldEnd(voided, 1000)).toEqual({ kind: HoldEndKind.Release, step: 105 });
   });
 
   it('releases the hold where nothing is prepared', () => {
-    const plan = planHoldEnd({ ...STANDING, preparedVersion: undefined }, 1000);
+    const plan = planHoldEnd({ ...HOLDING, preparedVersion: undefined }, 1000);
     expect(plan).toEqual({ kind: HoldEndKind.Release, step: 105 });
   });
 
@@ -41,7 +41,7 @@
     ['nothing is held', { heldStep: undefined }, 1000],
     ['its leader may still act', {}, 100],
   ])('keeps it while %s', (_, fields, waited) => {
-    expect(planHoldEnd({ ...STANDING, ...fields }, waited).kind).toBe(HoldEndKind.Keep);
+    expect(planHoldEnd({ ...HOLDING, ...fields }, waited).kind).toBe(HoldEndKind.Keep);
   });
 });
 
--- a/packages/placement/src/plan-hold-end.ts
+++ b/packages/placement/src/plan-hold-end.ts
@@ -26,7 +26,7 @@
  * Longest time that the group waits at a hold under which nothing is armed. A leader arms within
  * one round of orders, so this leaves time to repeat an order that was lost.
  */
-const LONGEST_WAIT_MILLISECONDS = 250;
+const MAXIMUM_HOLD_WAIT_MILLISECONDS = 250;
 
 /** Whether the next pass is the one that this rank keeps the group from beginning. */
 export function isAtHold({ step, heldStep }: RankReport): boolean {
@@ -40,7 +40,7 @@
  */
 export function planHoldEnd(report: RankReport, waitedMilliseconds: number): HoldEnd {
   const { isOpen, armed, heldStep, preparedVersion } = report;
-  const isDue = isAtHold(report) && waitedMilliseconds >= LONGEST_WAIT_MILLISECONDS;
+  const isDue = isAtHold(report) && waitedMilliseconds >= MAXIMUM_HOLD_WAIT_MILLISECONDS;
   if (!isOpen || armed !== undefined || heldStep === undefined || !isDue) {
     return { kind: HoldEndKind.Keep };
   }
--- a/packages/placement/src/plan-hold-orders.test.ts
+++ b/packages/placement/src/plan-hold-orders.test.ts
@@ -3,7 +3,7 @@
 import { initialMap } from './expert-map.js';
 import { planGroupMap } from './plan-group-map.js';
 import { planHoldRollout } from './plan-hold-rollout.js';
-import { initialRollout, RolloutPhase } from './rollout-state.js';
+import { initialRolloutState, RolloutPhase } from './rollout-state.js';
 import type { RolloutInput, RolloutPlan, RolloutState } from './rollout-state.js';
 import { RankOrderKind } from './rank-report.js';
 import type { RankReport } from './rank-report.js';
@@ -38,14 +38,14 @@
   input: Partial<RolloutInput> = {},
 ): RolloutPlan {
   return planHoldRollout({
-    state: { ...initialRollout(1), ...state },
+    state: { ...initialRolloutState(1), ...state },
     reports,
     ownRank: 0,
     formerRank: undefined,
     passMilliseconds: 40,
-    roundMilliseconds: 10,
-    orderRounds: 1,
-    voiding: VOIDING,
+    reportRoundMilliseconds: 10,
+    expectedOrderAttempts: 1,
+    voidingTarget: VOIDING,
     ...input,
   });
 }
@@ -68,8 +68,8 @@
   it('hold further ahead where orders are left unanswered', () => {
     // Ranks leave a tenth of their orders unanswered, and some have to be armed a second and a third
     // time. Until the last of them is, a hold that was reached makes every open stream pause.
-    const stepOf = (orderRounds: number): number => {
-      const input = { passMilliseconds: 60, roundMilliseconds: 60, orderRounds };
+    const stepOf = (expectedOrderAttempts: number): number => {
+      const input = { passMilliseconds: 60, reportRoundMilliseconds: 60, expectedOrderAttempts };
       const [first] = plan(prepared, settled, input).orders;
       return first?.order.kind === RankOrderKind.Hold ? first.order.step : 0;
     };
@@ -88,10 +88,10 @@
     expect(plan(held, state).orders.map(({ rank }) => rank)).toEqual([1]);
     const arm = (one: RankReport): RankReport => ({ ...one, armed: { version: 7, step: 105 } });
     const guarded = held.map((one) => (one.rank === 1 ? arm(one) : one));
-    const armsSent = { ...state, armsSent: true };
-    expect(plan(guarded, armsSent).orders.map(({ rank }) => rank)).toEqual([2, 3]);
+    const armingState = { ...state, armsSentUnderHold: true };
+    expect(plan(guarded, armingState).orders.map(({ rank }) => rank)).toEqual([2, 3]);
     const armed = held.map((one) => (one.rank === 0 ? one : arm(one)));
-    expect(plan(armed, armsSent).orders.map(({ rank }) => rank)).toEqual([0]);
+    expect(plan(armed, armingState).orders.map(({ rank }) => rank)).toEqual([0]);
   });
 
   it('clear a hold whose leader is out of sight, by voiding and then releasing', () => {
@@ -100,11 +100,11 @@
       if (one.rank === 3) return undefined;
       return one.rank === 1 ? { ...one, heldStep: 105 } : one;
     });
-    const voiding = plan(seen, {}, { formerRank: 3, voiding: { version: 9, map: MAP } });
+    const voiding = plan(seen, {}, { formerRank: 3, voidingTarget: { version: 9, map: MAP } });
     expect(voiding.phase).toBe(RolloutPhase.Clearing);
     expect(voiding.orders.every(({ order }) => order.kind === RankOrderKind.Prepare)).toBe(true);
     const voided = seen.map((one) => (one === undefined ? one : { ...one, preparedVersion: 9 }));
-    const released = plan(voided, {}, { formerRank: 3, voiding: { version: 9, map: MAP } });
+    const released = plan(voided, {}, { formerRank: 3, voidingTarget: { version: 9, map: MAP } });
     expect(released.orders).toEqual([
       { rank: 1, order: { kind: RankOrderKind.Release, epoch: 1, step: 105 } },
     ]);
@@ -122,7 +122,7 @@
     const seen = prepared.map((one) => (one.rank === 3 ? undefined : one));
     const { orders, state } = plan(seen, { ...settled, heldStep: 105 });
     expect(orders.map(({ order }) => order.kind)).toEqual([RankOrderKind.Release]);
-    expect(state.spentSteps.has(105)).toBe(true);
+    expect(state.abandonedSteps.has(105)).toBe(true);
   });
 });
 
@@ -132,7 +132,7 @@
     const load = { tokens, speeds: [1, 1, 1, 1] };
     const policy = { placesPerRank: 3, newPerRank: 1, minimumGain: 0.1 };
     const decision = await planGroupMap(MAP, [load], policy, async () => undefined);
-    expect(decision.isWorthIt).toBe(true);
+    expect(decision.isWorthwhile).toBe(true);
     expect(decision.skewBefore).toBeGreaterThan(3);
     expect(decision.skewAfter).toBeLessThan(1.1);
     for (const [rank, held] of decision.map.sets[0]?.experts.entries() ?? []) {
@@ -146,6 +146,6 @@
     const load = { tokens: new Array(8).fill(10), speeds: [1, 1, 1, 1] };
     const policy = { placesPerRank: 3, newPerRank: 1, minimumGain: 0.1 };
     const decision = await planGroupMap(MAP, [load], policy, async () => undefined);
-    expect(decision).toMatchObject({ isWorthIt: false, moves: 0 });
+    expect(decision).toMatchObject({ isWorthwhile: false, moves: 0 });
   });
 });
--- a/packages/placement/src/plan-hold-rollout.test.ts
+++ b/packages/placement/src/plan-hold-rollout.test.ts
@@ -14,21 +14,21 @@
 
 type Mutate = NonNullable<Parameters<typeof runGroupModel>[0]['mutate']>;
 
-function run(seed: number, mutate?: Mutate, readsApart = false): ModelResult {
+function run(seed: number, mutate?: Mutate, readsReportsSequentially = false): ModelResult {
   return runGroupModel({
     seed,
     ranks: RANKS,
     ticks: TICKS,
-    readsApart,
+    readsReportsSequentially,
     ...(mutate === undefined ? {} : { mutate }),
   });
 }
 
 /** How many of some seeds end in a pass with two maps. */
-function countMixed(mutate: Mutate): number {
+function countMixedRuns(mutate: Mutate): number {
   let mixed = 0;
   for (let seed = 1; seed <= RUNS; seed += 1) {
-    if (run(seed, mutate).mixedAt !== undefined) mixed += 1;
+    if (run(seed, mutate).mixedMapsAt !== undefined) mixed += 1;
   }
   return mixed;
 }
@@ -40,7 +40,7 @@
     // send tokens to ranks that do not hold their expert: callers would get wrong text.
     fc.assert(
       fc.property(fc.integer({ min: 1, max: 2 ** 31 - 1 }), (seed) => {
-        expect(run(seed).mixedAt).toBeUndefined();
+        expect(run(seed).mixedMapsAt).toBeUndefined();
       }),
       { numRuns: RUNS, seed: 20 },
     );
@@ -49,14 +49,14 @@
   it.each([970712535, 757228339, 116483])('keeps one map with seed %i', (seed) => {
     // Three leaders in a row, an order to disarm that came late, a rank out of sight: each of
     // these seeds once let a pass begin with two maps.
-    expect(run(seed).mixedAt).toBeUndefined();
+    expect(run(seed).mixedMapsAt).toBeUndefined();
   });
 
   it('never does so either where holds are planned further ahead for orders that get lost', () => {
     // Between the hold and its pass more passes run, and more leaders end in them.
     for (let seed = 1; seed <= RUNS; seed += 1) {
-      const options = { seed, ranks: RANKS, ticks: TICKS, orderRounds: 1 + (seed % 5) };
-      expect(runGroupModel(options).mixedAt, `seed ${seed}`).toBeUndefined();
+      const options = { seed, ranks: RANKS, ticks: TICKS, expectedOrderAttempts: 1 + (seed % 5) };
+      expect(runGroupModel(options).mixedMapsAt, `seed ${seed}`).toBeUndefined();
     }
   });
 
@@ -65,8 +65,8 @@
     // late orders are carried out in between, so that no two reports need be of one moment.
     for (let seed = 1; seed <= RUNS; seed += 1) {
       const result = run(seed, undefined, true);
-      expect(result.mixedAt, `seed ${seed}`).toBeUndefined();
-      expect(result.calmPasses, `seed ${seed}`).toBeGreaterThan(TICKS / 4);
+      expect(result.mixedMapsAt, `seed ${seed}`).toBeUndefined();
+      expect(result.faultFreePasses, `seed ${seed}`).toBeGreaterThan(TICKS / 4);
     }
   });
 
@@ -74,7 +74,7 @@
     // A leader ends while it holds the group, or a hold arrives after it was given up. Nobody
     // else would release it, and every caller of the group would wait for ever.
     for (let seed = 1; seed <= RUNS; seed += 1) {
-      expect(run(seed).calmPasses, `seed ${seed}`).toBeGreaterThan(TICKS / 4);
+      expect(run(seed).faultFreePasses, `seed ${seed}`).toBeGreaterThan(TICKS / 4);
     }
   });
 
@@ -86,7 +86,7 @@
 
   it('mixes maps when the group is released before all ranks are seen armed', () => {
     // An order to arm that got no answer counts as done, and the group goes on without it.
-    const mixed = countMixed((plan, reports) => {
+    const mixed = countMixedRuns((plan, reports) => {
       if (!plan.orders.some(({ order }) => order.kind === RankOrderKind.Arm)) return plan;
       const releases = reports.flatMap((report) =>
         report?.heldStep === undefined
@@ -109,7 +109,7 @@
 
   it('mixes maps when a successor releases a hold without making earlier orders void', () => {
     // The leader before it had sent orders to arm that arrive only now.
-    const mixed = countMixed((plan, reports) => {
+    const mixed = countMixedRuns((plan, reports) => {
       const isVoiding = plan.orders.some(
         ({ order }) => order.kind === RankOrderKind.Prepare && plan.state.target === undefined,
       );
@@ -130,23 +130,23 @@
 
   const endAtOnce: EndHold = (report) => planHoldEnd(report, Infinity);
 
-  function runEnding(seed: number, endHold: EndHold, mutate?: Mutate): ModelResult {
+  function runEndingHolds(seed: number, endHold: EndHold, mutate?: Mutate): ModelResult {
     return runGroupModel({
       seed,
       ranks: 2 + (seed % 3),
       ticks: TICKS,
-      readsApart: true,
-      actsOnAnswers: seed % 2 === 0,
-      orderRounds: 1 + (seed % 5),
+      readsReportsSequentially: true,
+      armsWithoutRereading: seed % 2 === 0,
+      expectedOrderAttempts: 1 + (seed % 5),
       endHold,
       ...(mutate === undefined ? {} : { mutate }),
     });
   }
 
-  function countMixedEnding(endHold: EndHold, mutate?: Mutate): number {
+  function countMixedRunsEndingHolds(endHold: EndHold, mutate?: Mutate): number {
     let mixed = 0;
     for (let seed = 1; seed <= RUNS; seed += 1) {
-      if (runEnding(seed, endHold, mutate).mixedAt !== undefined) mixed += 1;
+      if (runEndingHolds(seed, endHold, mutate).mixedMapsAt !== undefined) mixed += 1;
     }
     return mixed;
   }
@@ -156,16 +156,16 @@
     // may its own.
     let ended = 0;
     for (let seed = 1; seed <= RUNS; seed += 1) {
-      const result = runEnding(seed, endAtOnce);
-      expect(result.mixedAt, `seed ${seed}`).toBeUndefined();
-      expect(result.calmPasses, `seed ${seed}`).toBeGreaterThan(TICKS / 4);
+      const result = runEndingHolds(seed, endAtOnce);
+      expect(result.mixedMapsAt, `seed ${seed}`).toBeUndefined();
+      expect(result.faultFreePasses, `seed ${seed}`).toBeGreaterThan(TICKS / 4);
       ended += result.endedHolds;
     }
     expect(ended).toBeGreaterThan(RUNS);
   });
 
   it('mixes maps when leaders arm other ranks before that one', () => {
-    const mixed = countMixedEnding(endAtOnce, (plan, reports) => {
+    const mixed = countMixedRunsEndingHolds(endAtOnce, (plan, reports) => {
       const arm = plan.orders.find(({ order }) => order.kind === RankOrderKind.Arm);
       if (arm === undefined) return plan;
       const orders = reports.flatMap((report) =>
@@ -179,7 +179,7 @@
   });
 
   it('mixes maps when the rank releases before its prepared map is void', () => {
-    const mixed = countMixedEnding((report) => {
+    const mixed = countMixedRunsEndingHolds((report) => {
       const end = planHoldEnd(report, Infinity);
       if (end.kind !== HoldEndKind.Void || report.heldStep === undefined) return end;
       return { kind: HoldEndKind.Release, step: report.heldStep };
--- a/packages/placement/src/plan-hold-rollout.ts
+++ b/packages/placement/src/plan-hold-rollout.ts
@@ -22,18 +22,18 @@
  * as long as another rank is not armed, the frozen one is not either, and its successor can
  * clear the hold without it.
  */
-import { planClearing, planWithoutFormer } from './plan-clearing.js';
+import { planClearing, planWithoutFormerLeader } from './plan-clearing.js';
 import { RankOrderKind } from './rank-report.js';
 import type { RankOrder, RankReport } from './rank-report.js';
 import {
-  holderOf,
-  initialRollout,
+  holdingRankOf,
+  initialRolloutState,
   isArmedFor,
   lowestHeldStep,
-  planArms,
-  release,
+  planArmOrders,
+  releaseOrders,
   RolloutPhase,
-  toAll,
+  selectOrders,
 } from './rollout-state.js';
 import type { RolloutInput, RolloutPlan, RolloutTarget } from './rollout-state.js';
 
@@ -42,15 +42,15 @@
  * of reports and orders of about 30 ms each, and slack. The group must not reach the held pass
  * sooner, or all its streams pause.
  */
-const SHORTEST_ROLLOUT_MILLISECONDS = 160;
+const MINIMUM_ROLLOUT_MILLISECONDS = 160;
 /** Rounds of reports or of orders from the hold to the release; orders take about as long. */
-const ROUNDS = 4;
+const ROUNDS_PER_ROLLOUT = 4;
 /** An order that got no answer takes a look and another round of orders. */
-const ROUNDS_PER_REPEAT = 2;
+const ROUNDS_PER_RETRY = 2;
 const SLACK_MILLISECONDS = 20;
-const FEWEST_STEPS_AHEAD = 2;
+const MINIMUM_STEPS_AHEAD = 2;
 /** Further ahead the old map would stay in force for long. */
-const MOST_STEPS_AHEAD = 12;
+const MAXIMUM_STEPS_AHEAD = 12;
 
 /** The pass that runs when a report is read is half over on average. */
 const RUNNING_PASS_SHARE = 0.5;
@@ -59,29 +59,38 @@
  * Passes between the one that runs and the one that is held. One more than needed costs a whole
  * pass with the old map; one too few, and all streams of the group pause.
  */
-function stepsAhead({ passMilliseconds, roundMilliseconds, orderRounds }: RolloutInput): number {
-  const repeats = (orderRounds - 1) * ROUNDS_PER_REPEAT * roundMilliseconds;
-  const rollout =
-    Math.max(SHORTEST_ROLLOUT_MILLISECONDS, ROUNDS * roundMilliseconds + SLACK_MILLISECONDS) +
-    repeats;
-  const needed = Math.ceil(rollout / Math.max(1, passMilliseconds) + RUNNING_PASS_SHARE);
-  return Math.min(MOST_STEPS_AHEAD, Math.max(FEWEST_STEPS_AHEAD, needed));
+function stepsAhead({
+  passMilliseconds,
+  reportRoundMilliseconds,
+  expectedOrderAttempts,
+}: RolloutInput): number {
+  const retryMilliseconds =
+    (expectedOrderAttempts - 1) * ROUNDS_PER_RETRY * reportRoundMilliseconds;
+  const rolloutMilliseconds =
+    Math.max(
+      MINIMUM_ROLLOUT_MILLISECONDS,
+      ROUNDS_PER_ROLLOUT * reportRoundMilliseconds + SLACK_MILLISECONDS,
+    ) + retryMilliseconds;
+  const neededSteps = Math.ceil(
+    rolloutMilliseconds / Math.max(1, passMilliseconds) + RUNNING_PASS_SHARE,
+  );
+  return Math.min(MAXIMUM_STEPS_AHEAD, Math.max(MINIMUM_STEPS_AHEAD, neededSteps));
 }
 
-interface View {
+interface GroupView {
   readonly reports: readonly RankReport[];
   /** Every rank is in the view; otherwise only the former leader's is missing. */
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
 }
 
 /** Reports of one epoch: of all ranks, or of all but the former leader's. */
-function viewOf(input: RolloutInput): View | undefined {
+function groupViewOf(input: RolloutInput): GroupView | undefined {
   const seen: RankReport[] = [];
-  let isWhole = true;
+  let isComplete = true;
   for (const [rank, report] of input.reports.entries()) {
     if (report === undefined) {
       if (rank !== input.formerRank || rank === input.ownRank) return undefined;
-      isWhole = false;
+      isComplete = false;
       continue;
     }
     const first = seen[0] ?? report;
@@ -90,7 +99,7 @@
   }
   const size = seen[0]?.size;
   return size !== undefined && input.reports.length === size
-    ? { reports: seen, isWhole }
+    ? { reports: seen, isComplete }
     : undefined;
 }
 
@@ -105,20 +114,20 @@
   const { epoch } = state;
   const { version } = target;
   if (reports.every((report) => isArmedFor(report, version, step))) {
-    return { phase: RolloutPhase.Releasing, orders: release(reports, step, epoch), state };
+    return { phase: RolloutPhase.Releasing, orders: releaseOrders(reports, step, epoch), state };
   }
   const canArm = reports.every(
     (report) => isArmedFor(report, version, step) || report.preparedVersion === version,
   );
   if (!canArm) {
-    if (state.armsSent) return planClearing(input, reports, step);
-    const spentSteps = new Set([...state.spentSteps, step]);
-    const abandoned = { ...state, target: undefined, heldStep: undefined, spentSteps };
-    const orders = release(reports, step, epoch);
-    return { phase: RolloutPhase.Clearing, orders, state: abandoned };
+    if (state.armsSentUnderHold) return planClearing(input, reports, step);
+    const abandonedSteps = new Set([...state.abandonedSteps, step]);
+    const abandonedState = { ...state, target: undefined, heldStep: undefined, abandonedSteps };
+    const orders = releaseOrders(reports, step, epoch);
+    return { phase: RolloutPhase.Clearing, orders, state: abandonedState };
   }
-  const orders = planArms(input, reports, version, step);
-  const armingState = { ...state, armsSent: true, mayHaveArmed: true };
+  const orders = planArmOrders(input, reports, version, step);
+  const armingState = { ...state, armsSentUnderHold: true, armsSentSinceSettled: true };
   return { phase: RolloutPhase.Arming, orders, state: armingState };
 }
 
@@ -130,7 +139,7 @@
   const { state } = input;
   const { epoch } = state;
   const { version, map } = target;
-  const unprepared = toAll(reports, (report) =>
+  const unprepared = selectOrders(reports, (report) =>
     report.preparedVersion === version
       ? undefined
       : { kind: RankOrderKind.Prepare, epoch, version, map },
@@ -139,66 +148,68 @@
   const ahead = stepsAhead(input);
   let step = ahead;
   for (const report of reports) step = Math.max(step, report.step + ahead);
-  while (state.spentSteps.has(step)) step += 1;
+  while (state.abandonedSteps.has(step)) step += 1;
   const order: RankOrder = { kind: RankOrderKind.Hold, epoch, step };
   return {
     phase: RolloutPhase.Holding,
-    orders: [{ rank: holderOf(input), order }],
-    state: { ...state, heldStep: step, armsSent: false },
+    orders: [{ rank: holdingRankOf(input), order }],
+    state: { ...state, heldStep: step, armsSentUnderHold: false },
   };
 }
 
 /** Ranks are out of sight: a hold under which nothing was armed must not keep the others. */
-function planBlind(input: RolloutInput): RolloutPlan {
+function planWithIncompleteReports(input: RolloutInput): RolloutPlan {
   const { state } = input;
   const { heldStep, epoch } = state;
-  const phase = RolloutPhase.Blind;
-  if (heldStep === undefined || state.armsSent) return { phase, orders: [], state };
+  const phase = RolloutPhase.IncompleteReports;
+  if (heldStep === undefined || state.armsSentUnderHold) return { phase, orders: [], state };
   const order: RankOrder = { kind: RankOrderKind.Release, epoch, step: heldStep };
-  const spentSteps = new Set([...state.spentSteps, heldStep]);
+  const abandonedSteps = new Set([...state.abandonedSteps, heldStep]);
   return {
     phase,
-    orders: [{ rank: holderOf(input), order }],
-    state: { ...state, heldStep: undefined, spentSteps },
+    orders: [{ rank: holdingRankOf(input), order }],
+    state: { ...state, heldStep: undefined, abandonedSteps },
   };
 }
 
 export function planHoldRollout(input: RolloutInput): RolloutPlan {
-  const view = viewOf(input);
-  if (view === undefined) return planBlind(input);
-  const { reports, isWhole } = view;
+  const view = groupViewOf(input);
+  if (view === undefined) return planWithIncompleteReports(input);
+  const { reports, isComplete } = view;
   const epoch = reports[0]?.epoch ?? 0;
   // Nothing of an earlier epoch is left: the group formed anew with its first map.
-  const known = epoch === input.state.epoch ? input.state : initialRollout(epoch);
-  if (!isWhole) {
+  const knownState = epoch === input.state.epoch ? input.state : initialRolloutState(epoch);
+  if (!isComplete) {
     // What this leader began itself it can judge only with all ranks in sight.
-    if (known.target !== undefined || known.mayHaveArmed)
-      return planBlind({ ...input, state: known });
-    return planWithoutFormer({ ...input, state: known }, reports);
+    if (knownState.target !== undefined || knownState.armsSentSinceSettled)
+      return planWithIncompleteReports({ ...input, state: knownState });
+    return planWithoutFormerLeader({ ...input, state: knownState }, reports);
   }
   const heldStep = lowestHeldStep(reports);
   const isAnyArmed = reports.some((report) => report.armed !== undefined);
-  const isFree = heldStep === undefined && !isAnyArmed;
+  const isGroupFree = heldStep === undefined && !isAnyArmed;
   // Where the hold was ended before all ranks were armed, nothing of it is left.
-  const state = isFree
-    ? { ...known, isSettled: true, mayHaveArmed: false, armsSent: false }
-    : known;
+  const state = isGroupFree
+    ? { ...knownState, isSettled: true, armsSentSinceSettled: false, armsSentUnderHold: false }
+    : knownState;
   const current = { ...input, state };
   const { target } = state;
-  if (isFree && target !== undefined) {
+  if (isGroupFree && target !== undefined) {
     if (reports.every((report) => report.activeVersion === target.version)) {
-      const done = { ...state, target: undefined, heldStep: undefined, armsSent: false };
+      const done = { ...state, target: undefined, heldStep: undefined, armsSentUnderHold: false };
       return { phase: RolloutPhase.Done, orders: [], state: done };
     }
     return planPreparing(current, reports, target);
   }
-  if (isFree) return { phase: RolloutPhase.Idle, orders: [], state };
+  if (isGroupFree) return { phase: RolloutPhase.Idle, orders: [], state };
   const isOwnHold =
     target !== undefined &&
     heldStep !== undefined &&
     heldStep === state.heldStep &&
-    reports.some((report) => report.heldStep === heldStep && report.rank === holderOf(input)) &&
-    !state.spentSteps.has(heldStep);
+    reports.some(
+      (report) => report.heldStep === heldStep && report.rank === holdingRankOf(input),
+    ) &&
+    !state.abandonedSteps.has(heldStep);
   if (isOwnHold) return planArming(current, reports, target, heldStep);
   return planClearing(current, reports, heldStep);
 }
--- a/packages/placement/src/plan-map.test.ts
+++ b/packages/placement/src/plan-map.test.ts
@@ -5,15 +5,15 @@
 import { describe, expect, it } from 'vitest';
 
 import {
-  countMoves,
+  countNewExperts,
   countReplicas,
-  INITIAL_CAUTION,
+  INITIAL_THRESHOLD_FACTOR,
   initialMap,
   MapDecisionKind,
-  planCaution,
+  planThresholdFactor,
   planFullMap,
   planMap,
-  rankTimes,
+  predictRankTimes,
   skewOf,
   smoothTokens,
 } from './index.js';
@@ -40,14 +40,16 @@
         let map = initialMap(32, 8);
         for (const load of windows) {
           const decision = planMap(map, load, POLICY);
-          const moves = countMoves(map, decision.map);
+          const moves = countNewExperts(map, decision.map);
           expect(moves).toBeLessThanOrEqual(POLICY.maximumMoves);
           expect(Math.min(...countReplicas(decision.map, 32))).toBeGreaterThanOrEqual(1);
           for (const held of decision.map.experts) {
             expect(held.length).toBeLessThanOrEqual(POLICY.slotsPerRank);
           }
-          const before = Math.max(...rankTimes(map, load));
-          expect(Math.max(...rankTimes(decision.map, load))).toBeLessThanOrEqual(before + 1e-6);
+          const before = Math.max(...predictRankTimes(map, load));
+          expect(Math.max(...predictRankTimes(decision.map, load))).toBeLessThanOrEqual(
+            before + 1e-6,
+          );
           map = decision.map;
         }
       }),
@@ -58,10 +60,10 @@
     const tokens = Array.from({ length: 32 }, (_, expert) => (expert === 0 ? 2000 : 100));
     const speeds = [1, 1, 1, 0.4, 1, 1, 1, 1];
     let map = initialMap(32, 8);
-    const before = skewOf(rankTimes(map, { tokens, speeds }));
+    const before = skewOf(predictRankTimes(map, { tokens, speeds }));
     for (let window = 0; window < 6; window += 1)
       map = planMap(map, { tokens, speeds }, POLICY).map;
-    expect(skewOf(rankTimes(map, { tokens, speeds }))).toBeLessThan(before / 2);
+    expect(skewOf(predictRankTimes(map, { tokens, speeds }))).toBeLessThan(before / 2);
   });
 
   it('is left alone while the load alternates', () => {
@@ -73,13 +75,16 @@
     let tokens: number[] | undefined;
     let map = initialMap(32, 8);
     let previous: ExpertMap | undefined;
-    let caution = INITIAL_CAUTION;
+    let thresholdFactor = INITIAL_THRESHOLD_FACTOR;
     let changes = 0;
     for (let window = 0; window < 60; window += 1) {
       const seen = window % 2 === 0 ? even : odd;
       tokens = smoothTokens(tokens, seen, 0.6);
-      caution = planCaution(caution, map, previous, { tokens: seen, speeds });
-      const decision = planMap(map, { tokens, speeds }, POLICY, caution);
+      thresholdFactor = planThresholdFactor(thresholdFactor, map, previous, {
+        tokens: seen,
+        speeds,
+      });
+      const decision = planMap(map, { tokens, speeds }, POLICY, thresholdFactor);
       const changed = decision.kind === MapDecisionKind.Change;
       previous = changed ? map : undefined;
       if (changed && window >= 30) changes += 1;
--- a/packages/placement/src/plan-map.ts
+++ b/packages/placement/src/plan-map.ts
@@ -2,19 +2,19 @@
  * Plans the next expert map from the one in force: a few moves that take load off the slowest
  * rank, and only if what they gain over the horizon is worth what they cost.
  */
-import { rankTimes, skewOf } from './expert-map.js';
+import { predictRankTimes, skewOf } from './expert-map.js';
 import type { ExpertLoad, ExpertMap } from './expert-map.js';
 import {
-  addTo,
-  planEviction,
-  refreshTimes,
-  removeFrom,
+  addReplica,
+  chooseEviction,
+  recomputeRankTimes,
+  removeReplica,
   slowestRank,
   toDraft,
   toMap,
 } from './map-draft.js';
 import type { Eviction, MapDraft } from './map-draft.js';
-import { INITIAL_CAUTION } from './plan-caution.js';
+import { INITIAL_THRESHOLD_FACTOR } from './plan-threshold-factor.js';
 
 export interface MapPolicy {
   readonly slotsPerRank: number;
@@ -25,9 +25,9 @@
   /** Stall that moving one expert costs, in steps. */
   readonly moveCostSteps: number;
   /** Experts that each rank can load for one new map; no bound when undefined. */
-  readonly loadsByRank?: readonly number[];
+  readonly maximumNewExpertsByRank?: readonly number[];
   /** Skew at which the search ends, since further moves would cost more than they bring. */
-  readonly fairSkew?: number;
+  readonly targetSkew?: number;
 }
 
 export enum MapDecisionKind {
@@ -53,13 +53,13 @@
   /** Expert that leaves the receiving rank to make room. */
   readonly evicted: number | undefined;
   /** Slowest of the ranks that the move touches, afterwards. */
-  readonly slowest: number;
+  readonly slowestTime: number;
   /** Time of the receiving rank afterwards. */
   readonly toTime: number;
 }
 
 /** The best form of moving one expert to one rank; undefined when it does not fit. */
-function judge(
+function evaluateMove(
   draft: MapDraft,
   load: ExpertLoad,
   from: number,
@@ -67,113 +67,119 @@
   expert: number,
   eviction: Eviction | undefined,
 ): Move | undefined {
-  if (draft.held[to]?.has(expert) === true || eviction?.expert === expert) return undefined;
+  if (draft.expertsByRank[to]?.has(expert) === true || eviction?.expert === expert)
+    return undefined;
   const tokens = load.tokens[expert] ?? 0;
-  const replicas = draft.replicas[expert] ?? 1;
+  const replicas = draft.replicaCounts[expert] ?? 1;
   const fromSpeed = load.speeds[from] ?? 1;
   const toSpeed = load.speeds[to] ?? 1;
   const share = tokens / replicas;
-  const shared = tokens / (replicas + 1);
-  const roomy = (draft.times[to] ?? 0) - (eviction?.share ?? 0) / toSpeed;
-  const fromTime = draft.times[from] ?? 0;
-  const harmed = eviction?.holdersSlowest ?? 0;
-  const replicatedTo = roomy + shared / toSpeed;
-  const movedTo = roomy + share / toSpeed;
-  const replicated = Math.max(fromTime - (share - shared) / fromSpeed, replicatedTo, harmed);
-  const moved = Math.max(fromTime - share / fromSpeed, movedTo, harmed);
-  const stays = replicated <= moved;
+  const replicatedShare = tokens / (replicas + 1);
+  const toTimeAfterEviction = (draft.rankTimes[to] ?? 0) - (eviction?.share ?? 0) / toSpeed;
+  const fromTime = draft.rankTimes[from] ?? 0;
+  const evictedHolderTime = eviction?.slowestHolderTime ?? 0;
+  const toTimeIfReplicated = toTimeAfterEviction + replicatedShare / toSpeed;
+  const toTimeIfMoved = toTimeAfterEviction + share / toSpeed;
+  const slowestIfReplicated = Math.max(
+    fromTime - (share - replicatedShare) / fromSpeed,
+    toTimeIfReplicated,
+    evictedHolderTime,
+  );
+  const slowestIfMoved = Math.max(fromTime - share / fromSpeed, toTimeIfMoved, evictedHolderTime);
+  const isReplicated = slowestIfReplicated <= slowestIfMoved;
   return {
     expert,
     to,
-    from: stays ? undefined : from,
+    from: isReplicated ? undefined : from,
     evicted: eviction?.expert,
-    slowest: Math.min(replicated, moved),
-    toTime: stays ? replicatedTo : movedTo,
+    slowestTime: Math.min(slowestIfReplicated, slowestIfMoved),
+    toTime: isReplicated ? toTimeIfReplicated : toTimeIfMoved,
   };
 }
 
 /** Ties go to the rank that ends up least loaded, so that free slots are used before replicas are given up. */
-function isBetter(move: Move, best: Move | undefined): boolean {
+function isBetterMove(move: Move, best: Move | undefined): boolean {
   if (best === undefined) return true;
-  if (move.slowest !== best.slowest) return move.slowest < best.slowest;
+  if (move.slowestTime !== best.slowestTime) return move.slowestTime < best.slowestTime;
   return move.toTime < best.toTime;
 }
 
 /** An exchange of two experts between full ranks; it counts as two moves. */
-interface Exchange {
-  readonly given: number;
-  readonly taken: number;
-  readonly with: number;
-  readonly slowest: number;
+interface Swap {
+  readonly outgoing: number;
+  readonly incoming: number;
+  readonly otherRank: number;
+  readonly slowestTime: number;
 }
 
 /** Whether a rank may take an expert: it held it before, or has loads left. */
-type MayTake = (rank: number, expert: number) => boolean;
+type CanReceive = (rank: number, expert: number) => boolean;
 
 /** Tells, for the draft as it is now, what each rank may take against the map in force. */
-type LoadBound = () => MayTake;
+type CreateCanReceive = () => CanReceive;
 
 /** Bounds what each rank loads against the map in force. */
-function boundLoads(current: ExpertMap, draft: MapDraft, policy: MapPolicy): LoadBound {
-  const { loadsByRank } = policy;
-  if (loadsByRank === undefined) return () => () => true;
+function limitNewExperts(current: ExpertMap, draft: MapDraft, policy: MapPolicy): CreateCanReceive {
+  const { maximumNewExpertsByRank } = policy;
+  if (maximumNewExpertsByRank === undefined) return () => () => true;
   const before = current.experts.map((experts) => new Set(experts));
   return () => {
     // Counted once a move: each of the thousands of questions that follow would count it again.
-    const isFull = draft.held.map((held, rank) => {
-      let loads = 0;
-      for (const expert of held) if (before[rank]?.has(expert) !== true) loads += 1;
-      return loads >= (loadsByRank[rank] ?? 0);
+    const isAtLimit = draft.expertsByRank.map((held, rank) => {
+      let newExperts = 0;
+      for (const expert of held) if (before[rank]?.has(expert) !== true) newExperts += 1;
+      return newExperts >= (maximumNewExpertsByRank[rank] ?? 0);
     });
-    return (rank, expert) => isFull[rank] !== true || before[rank]?.has(expert) === true;
+    return (rank, expert) => isAtLimit[rank] !== true || before[rank]?.has(expert) === true;
   };
 }
 
-function bestMove(
+function findBestMove(
   draft: MapDraft,
   load: ExpertLoad,
   policy: MapPolicy,
   from: number,
-  mayTake: MayTake,
+  canReceive: CanReceive,
 ): Move | undefined {
   let best: Move | undefined;
-  for (const [to, target] of draft.held.entries()) {
-    if (to === from || (draft.times[to] ?? 0) >= (draft.times[from] ?? 0)) continue;
-    const full = target.size >= policy.slotsPerRank;
-    const eviction = full ? planEviction(draft, load, to) : undefined;
-    if (full && eviction === undefined) continue;
-    for (const expert of draft.held[from] ?? []) {
-      if (!mayTake(to, expert)) continue;
-      const move = judge(draft, load, from, to, expert, eviction);
-      if (move !== undefined && isBetter(move, best)) best = move;
+  for (const [to, target] of draft.expertsByRank.entries()) {
+    if (to === from || (draft.rankTimes[to] ?? 0) >= (draft.rankTimes[from] ?? 0)) continue;
+    const isFull = target.size >= policy.slotsPerRank;
+    const eviction = isFull ? chooseEviction(draft, load, to) : undefined;
+    if (isFull && eviction === undefined) continue;
+    for (const expert of draft.expertsByRank[from] ?? []) {
+      if (!canReceive(to, expert)) continue;
+      const move = evaluateMove(draft, load, from, to, expert, eviction);
+      if (move !== undefined && isBetterMove(move, best)) best = move;
     }
   }
   return best;
 }
 
-function bestExchange(
+function findBestSwap(
   draft: MapDraft,
   load: ExpertLoad,
   from: number,
-  mayTake: MayTake,
-): Exchange | undefined {
-  let best: Exchange | undefined;
+  canReceive: CanReceive,
+): Swap | undefined {
+  let best: Swap | undefined;
   const fromSpeed = load.speeds[from] ?? 1;
-  for (const given of draft.held[from] ?? []) {
-    const givenShare = (load.tokens[given] ?? 0) / (draft.replicas[given] ?? 1);
-    for (const [other, held] of draft.held.entries()) {
-      if (other === from || held.has(given) || !mayTake(other, given)) continue;
-      const otherSpeed = load.speeds[other] ?? 1;
-      for (const taken of held) {
-        if (draft.held[from]?.has(taken) === true || !mayTake(from, taken)) continue;
-        const takenShare = (load.tokens[taken] ?? 0) / (draft.replicas[taken] ?? 1);
-        const difference = givenShare - takenShare;
-        const slowest = Math.max(
-          (draft.times[from] ?? 0) - difference / fromSpeed,
-          (draft.times[other] ?? 0) + difference / otherSpeed,
+  for (const outgoing of draft.expertsByRank[from] ?? []) {
+    const outgoingShare = (load.tokens[outgoing] ?? 0) / (draft.replicaCounts[outgoing] ?? 1);
+    for (const [otherRank, held] of draft.expertsByRank.entries()) {
+      if (otherRank === from || held.has(outgoing) || !canReceive(otherRank, outgoing)) continue;
+      const otherSpeed = load.speeds[otherRank] ?? 1;
+      for (const incoming of held) {
+        if (draft.expertsByRank[from]?.has(incoming) === true || !canReceive(from, incoming))
+          continue;
+        const incomingShare = (load.tokens[incoming] ?? 0) / (draft.replicaCounts[incoming] ?? 1);
+        const difference = outgoingShare - incomingShare;
+        const slowestTime = Math.max(
+          (draft.rankTimes[from] ?? 0) - difference / fromSpeed,
+          (draft.rankTimes[otherRank] ?? 0) + difference / otherSpeed,
         );
-        if (best === undefined || slowest < best.slowest) {
-          best = { given, taken, with: other, slowest };
+        if (best === undefined || slowestTime < best.slowestTime) {
+          best = { outgoing, incoming, otherRank, slowestTime };
         }
       }
     }
@@ -182,42 +188,50 @@
 }
 
 function applyMove(draft: MapDraft, move: Move): void {
-  if (move.evicted !== undefined) removeFrom(draft, move.to, move.evicted);
-  addTo(draft, move.to, move.expert);
-  if (move.from !== undefined) removeFrom(draft, move.from, move.expert);
+  if (move.evicted !== undefined) removeReplica(draft, move.to, move.evicted);
+  addReplica(draft, move.to, move.expert);
+  if (move.from !== undefined) removeReplica(draft, move.from, move.expert);
 }
 
-function applyExchange(draft: MapDraft, from: number, exchange: Exchange): void {
-  removeFrom(draft, from, exchange.given);
-  removeFrom(draft, exchange.with, exchange.taken);
-  addTo(draft, from, exchange.taken);
-  addTo(draft, exchange.with, exchange.given);
+function applySwap(draft: MapDraft, from: number, swap: Swap): void {
+  removeReplica(draft, from, swap.outgoing);
+  removeReplica(draft, swap.otherRank, swap.incoming);
+  addReplica(draft, from, swap.incoming);
+  addReplica(draft, swap.otherRank, swap.outgoing);
 }
 
 /** Takes load off the slowest rank until nothing helps or the moves are used up. */
-function improve(draft: MapDraft, load: ExpertLoad, policy: MapPolicy, bound: LoadBound): number {
+function rebalance(
+  draft: MapDraft,
+  load: ExpertLoad,
+  policy: MapPolicy,
+  createCanReceive: CreateCanReceive,
+): number {
   let moves = 0;
   while (moves < policy.maximumMoves) {
-    const mayTake = bound();
-    const from = slowestRank(draft.times);
-    const worst = draft.times[from] ?? 0;
-    if (policy.fairSkew !== undefined && skewOf(draft.times) <= policy.fairSkew) return moves;
-    const move = bestMove(draft, load, policy, from, mayTake);
-    const room = policy.maximumMoves - moves >= 2;
-    const exchange = room ? bestExchange(draft, load, from, mayTake) : undefined;
+    const canReceive = createCanReceive();
+    const from = slowestRank(draft.rankTimes);
+    const currentSlowestTime = draft.rankTimes[from] ?? 0;
+    if (policy.targetSkew !== undefined && skewOf(draft.rankTimes) <= policy.targetSkew)
+      return moves;
+    const move = findBestMove(draft, load, policy, from, canReceive);
+    const hasMovesForSwap = policy.maximumMoves - moves >= 2;
+    const swap = hasMovesForSwap ? findBestSwap(draft, load, from, canReceive) : undefined;
     // An exchange loads two experts, so it has to be better by more than a single move.
-    const exchangeWins =
-      exchange !== undefined && worst - exchange.slowest > 2 * (worst - (move?.slowest ?? worst));
-    if (exchangeWins && exchange.slowest < worst) {
-      applyExchange(draft, from, exchange);
+    const isSwapBetter =
+      swap !== undefined &&
+      currentSlowestTime - swap.slowestTime >
+        2 * (currentSlowestTime - (move?.slowestTime ?? currentSlowestTime));
+    if (isSwapBetter && swap.slowestTime < currentSlowestTime) {
+      applySwap(draft, from, swap);
       moves += 2;
-    } else if (move !== undefined && move.slowest < worst) {
+    } else if (move !== undefined && move.slowestTime < currentSlowestTime) {
       applyMove(draft, move);
       moves += 1;
     } else {
       return moves;
     }
-    refreshTimes(draft, load);
+    recomputeRankTimes(draft, load);
   }
   return moves;
 }
@@ -227,12 +241,12 @@
   current: ExpertMap,
   load: ExpertLoad,
   policy: MapPolicy,
-  caution = INITIAL_CAUTION,
+  thresholdFactor = INITIAL_THRESHOLD_FACTOR,
 ): MapDecision {
   const draft = toDraft(current, load);
-  const skewBefore = skewOf(draft.times);
-  const worstBefore = Math.max(...draft.times);
-  const keep = (reason: string): MapDecision => ({
+  const skewBefore = skewOf(draft.rankTimes);
+  const slowestTimeBefore = Math.max(...draft.rankTimes);
+  const keepCurrent = (reason: string): MapDecision => ({
     kind: MapDecisionKind.Keep,
     map: current,
     moves: 0,
@@ -240,21 +254,22 @@
     skewAfter: skewBefore,
     reason,
   });
-  const moves = improve(draft, load, policy, boundLoads(current, draft, policy));
-  if (moves === 0) return keep('no move helps');
-  const worstAfter = Math.max(...draft.times);
-  const gain = (worstBefore - worstAfter) / worstBefore;
-  if (gain < policy.minimumGain * caution) return keep(`gain of ${gain.toFixed(3)} is too small`);
+  const moves = rebalance(draft, load, policy, limitNewExperts(current, draft, policy));
+  if (moves === 0) return keepCurrent('no move helps');
+  const slowestTimeAfter = Math.max(...draft.rankTimes);
+  const gain = (slowestTimeBefore - slowestTimeAfter) / slowestTimeBefore;
+  if (gain < policy.minimumGain * thresholdFactor)
+    return keepCurrent(`gain of ${gain.toFixed(3)} is too small`);
   const gainedSteps = gain * policy.horizonSteps;
-  const costSteps = moves * policy.moveCostSteps * caution;
-  if (gainedSteps <= costSteps) return keep(`${moves} moves cost more than they gain`);
+  const costSteps = moves * policy.moveCostSteps * thresholdFactor;
+  if (gainedSteps <= costSteps) return keepCurrent(`${moves} moves cost more than they gain`);
   const map = toMap(draft);
   return {
     kind: MapDecisionKind.Change,
     map,
     moves,
     skewBefore,
-    skewAfter: skewOf(rankTimes(map, load)),
+    skewAfter: skewOf(predictRankTimes(map, load)),
     reason: `gains ${gainedSteps.toFixed(0)} steps for ${costSteps.toFixed(0)}`,
   };
 }
--- a/packages/placement/src/plan-rank-order.ts
+++ b/packages/placement/src/plan-rank-order.ts
@@ -25,7 +25,7 @@
   readonly activeVersion: number;
   readonly preparedVersion: number;
   /** Rollout for which the rank is paused, 0 when it runs. */
-  readonly pausedFor: number;
+  readonly pausedForRollout: number;
 }
 
 export interface RankOrderInput {
@@ -42,13 +42,13 @@
   readonly effect: Exclude<RankStep, RankStep.Query | RankStep.Abort> | undefined;
 }
 
-export const INITIAL_RANK: RankState = {
+export const INITIAL_RANK_STATE: RankState = {
   fencingNumber: 0,
   closedRollout: 0,
   currentRollout: 0,
   activeVersion: 0,
   preparedVersion: 0,
-  pausedFor: 0,
+  pausedForRollout: 0,
 };
 
 function refuse(state: RankState, code: ResultCode): RankDecision {
@@ -68,13 +68,13 @@
     if (order.fencingNumber < state.fencingNumber) {
       return refuse(state, ResultCode.StaleFencingNumber);
     }
-    const fenced = { ...state, fencingNumber: order.fencingNumber };
-    return { code: ResultCode.Accepted, state: fenced, effect: undefined };
+    const fencedState = { ...state, fencingNumber: order.fencingNumber };
+    return { code: ResultCode.Accepted, state: fencedState, effect: undefined };
   }
   // A leader that was frozen past its lease, or a datagram late by minutes, would otherwise
   // pause, switch or resume a single rank, and the group would step on two maps.
   if (isStale(state, order)) return refuse(state, ResultCode.StaleFencingNumber);
-  const seen = {
+  const updated = {
     ...state,
     fencingNumber: order.fencingNumber,
     currentRollout: order.rollout,
@@ -83,43 +83,45 @@
     case RankStep.Prepare:
       return {
         code: ResultCode.Accepted,
-        state: { ...seen, preparedVersion: order.mapVersion },
+        state: { ...updated, preparedVersion: order.mapVersion },
         effect: RankStep.Prepare,
       };
     case RankStep.Pause:
       return {
         code: ResultCode.Accepted,
-        state: { ...seen, pausedFor: order.rollout },
+        state: { ...updated, pausedForRollout: order.rollout },
         effect: RankStep.Pause,
       };
     case RankStep.Switch: {
-      if (seen.pausedFor !== order.rollout) return refuse(seen, ResultCode.PrepareFailed);
-      if (seen.activeVersion === order.mapVersion) {
-        return { code: ResultCode.Accepted, state: seen, effect: undefined };
+      if (updated.pausedForRollout !== order.rollout)
+        return refuse(updated, ResultCode.PrepareFailed);
+      if (updated.activeVersion === order.mapVersion) {
+        return { code: ResultCode.Accepted, state: updated, effect: undefined };
       }
-      if (seen.preparedVersion !== order.mapVersion) {
-        return refuse(seen, ResultCode.PrepareFailed);
+      if (updated.preparedVersion !== order.mapVersion) {
+        return refuse(updated, ResultCode.PrepareFailed);
       }
-      const switched = { ...seen, activeVersion: order.mapVersion };
+      const switched = { ...updated, activeVersion: order.mapVersion };
       return { code: ResultCode.Accepted, state: switched, effect: RankStep.Switch };
     }
     case RankStep.Resume: {
-      const ready = seen.pausedFor === order.rollout && seen.activeVersion === order.mapVersion;
-      if (!ready) return refuse(seen, ResultCode.PrepareFailed);
-      const resumed = { ...seen, pausedFor: 0, closedRollout: order.rollout };
+      const isReady =
+        updated.pausedForRollout === order.rollout && updated.activeVersion === order.mapVersion;
+      if (!isReady) return refuse(updated, ResultCode.PrepareFailed);
+      const resumed = { ...updated, pausedForRollout: 0, closedRollout: order.rollout };
       return { code: ResultCode.Accepted, state: resumed, effect: RankStep.Resume };
     }
     case RankStep.Abort: {
-      const paused = seen.pausedFor === order.rollout;
+      const isPaused = updated.pausedForRollout === order.rollout;
       const aborted = {
-        ...seen,
-        pausedFor: paused ? 0 : seen.pausedFor,
+        ...updated,
+        pausedForRollout: isPaused ? 0 : updated.pausedForRollout,
         closedRollout: order.rollout,
       };
       return {
         code: ResultCode.Accepted,
         state: aborted,
-        effect: paused ? RankStep.Resume : undefined,
+        effect: isPaused ? RankStep.Resume : undefined,
       };
     }
     default: {
--- a/packages/placement/src/rollout-state.ts
+++ b/packages/placement/src/rollout-state.ts
@@ -18,13 +18,13 @@
   /** Pass that this leader asked to hold for its target. */
   readonly heldStep: number | undefined;
   /** Whether an order to arm may have been sent under that hold. */
-  readonly armsSent: boolean;
+  readonly armsSentUnderHold: boolean;
   /** Passes whose hold was released with nothing armed; they are never armed for. */
-  readonly spentSteps: ReadonlySet<number>;
+  readonly abandonedSteps: ReadonlySet<number>;
   /** Whether this leader has seen the group whole, with no hold and nothing armed. */
   readonly isSettled: boolean;
   /** Whether it sent orders to arm since it last saw the group so. */
-  readonly mayHaveArmed: boolean;
+  readonly armsSentSinceSettled: boolean;
 }
 
 export interface AddressedOrder {
@@ -34,7 +34,7 @@
 
 export enum RolloutPhase {
   /** Not every rank's state is known, or the group is broken. */
-  Blind = 'blind',
+  IncompleteReports = 'blind',
   Idle = 'idle',
   Preparing = 'preparing',
   Holding = 'holding',
@@ -65,26 +65,26 @@
   /** How long a pass takes now. */
   readonly passMilliseconds: number;
   /** How long it took to read all ranks' reports: more ranks take a leader longer. */
-  readonly roundMilliseconds: number;
+  readonly reportRoundMilliseconds: number;
   /** Times that an order goes out until most likely every rank has taken it; 1 without losses. */
-  readonly orderRounds: number;
+  readonly expectedOrderAttempts: number;
   /** A version and the map in force, to make earlier orders void with. */
-  readonly voiding: RolloutTarget;
+  readonly voidingTarget: RolloutTarget;
 }
 
-export function initialRollout(epoch: number): RolloutState {
+export function initialRolloutState(epoch: number): RolloutState {
   return {
     epoch,
     target: undefined,
     heldStep: undefined,
-    armsSent: false,
-    spentSteps: new Set(),
+    armsSentUnderHold: false,
+    abandonedSteps: new Set(),
     isSettled: false,
-    mayHaveArmed: false,
+    armsSentSinceSettled: false,
   };
 }
 
-export function toAll(
+export function selectOrders(
   reports: readonly RankReport[],
   select: (report: RankReport) => RankOrder | undefined,
 ): AddressedOrder[] {
@@ -97,12 +97,12 @@
 }
 
 /** The rank that holds the group: another machine's than this leader's, where there is one. */
-export function holderOf(input: RolloutInput): number {
+export function holdingRankOf(input: RolloutInput): number {
   return (input.ownRank + 1) % input.reports.length;
 }
 
 /** A rank that holds the pass and is armed for it: it does not end its hold by itself. */
-function isGuard(report: RankReport, version: number, step: number): boolean {
+function isArmedHolder(report: RankReport, version: number, step: number): boolean {
   return report.heldStep === step && isArmedFor(report, version, step);
 }
 
@@ -110,20 +110,20 @@
  * Orders to arm whoever is not armed yet: first a rank that holds the pass, which may end its hold
  * until it is armed, then all others, and this leader's own rank last.
  */
-export function planArms(
+export function planArmOrders(
   input: RolloutInput,
   reports: readonly RankReport[],
   version: number,
   step: number,
 ): AddressedOrder[] {
   const { epoch } = input.state;
-  const orders = toAll(reports, (report) =>
+  const orders = selectOrders(reports, (report) =>
     isArmedFor(report, version, step)
       ? undefined
       : { kind: RankOrderKind.Arm, epoch, version, step },
   );
   const others = orders.filter(({ rank }) => rank !== input.ownRank);
-  if (!reports.some((report) => isGuard(report, version, step))) {
+  if (!reports.some((report) => isArmedHolder(report, version, step))) {
     const isHolder = ({ rank }: AddressedOrder): boolean =>
       reports.some((report) => report.rank === rank && report.heldStep === step);
     const holders = others.filter(isHolder);
@@ -132,12 +132,12 @@
   return others.length > 0 ? others : orders;
 }
 
-export function release(
+export function releaseOrders(
   reports: readonly RankReport[],
   step: number,
   epoch: number,
 ): AddressedOrder[] {
-  return toAll(reports, ({ heldStep }) =>
+  return selectOrders(reports, ({ heldStep }) =>
     heldStep === step ? { kind: RankOrderKind.Release, epoch, step } : undefined,
   );
 }
@@ -158,7 +158,7 @@
  * Reports as they are after these orders were accepted. Undefined where reports have to be read
  * anew: an order to arm is carried out when it is answered, others may take effect later.
  */
-export function reportsAfter(
+export function reportsAfterOrders(
   reports: readonly (RankReport | undefined)[],
   accepted: readonly AddressedOrder[],
 ): readonly (RankReport | undefined)[] | undefined {
--- a/packages/placement/src/rollout.test.ts
+++ b/packages/placement/src/rollout.test.ts
@@ -6,7 +6,13 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 
-import { createLease, createRollout, INITIAL_RANK, planRankOrder, RankStep } from './index.js';
+import {
+  createLease,
+  createRollout,
+  INITIAL_RANK_STATE,
+  planRankOrder,
+  RankStep,
+} from './index.js';
 import type { HeldLease, RankAnswer, RankOrderMessage, RankState, Rollout } from './index.js';
 
 const RANKS = 3;
@@ -16,14 +22,14 @@
 /** A group in lock-step: a step is made only while no rank is paused, by all ranks together. */
 function createGroup(): {
   readonly ranks: RankState[];
-  obey(rank: number, order: RankOrderMessage): RankAnswer;
+  handleOrder(rank: number, order: RankOrderMessage): RankAnswer;
   restart(rank: number, fencingNumber: number): void;
   step(): void;
   readonly violations: string[];
   readonly steps: { count: number };
 } {
   const ranks: RankState[] = Array.from({ length: RANKS }, () => ({
-    ...INITIAL_RANK,
+    ...INITIAL_RANK_STATE,
     activeVersion: 1,
   }));
   const violations: string[] = [];
@@ -31,7 +37,11 @@
 
   function step(): void {
     // A restarted rank has no map and takes no part until it is given the committed one.
-    if (ranks.some(({ pausedFor, activeVersion }) => pausedFor !== 0 || activeVersion === 0))
+    if (
+      ranks.some(
+        ({ pausedForRollout, activeVersion }) => pausedForRollout !== 0 || activeVersion === 0,
+      )
+    )
       return;
     steps.count += 1;
     const versions = new Set(ranks.map(({ activeVersion }) => activeVersion));
@@ -43,15 +53,15 @@
     violations,
     steps,
     step,
-    obey(rank, order) {
+    handleOrder(rank, order) {
       const decision = planRankOrder(ranks[rank], order);
       ranks[rank] = decision.state;
       step();
-      const { activeVersion, pausedFor } = decision.state;
-      return { code: decision.code, activeVersion, paused: pausedFor !== 0 };
+      const { activeVersion, pausedForRollout } = decision.state;
+      return { code: decision.code, activeVersion, paused: pausedForRollout !== 0 };
     },
     restart(rank, fencingNumber) {
-      ranks[rank] = { ...INITIAL_RANK, fencingNumber };
+      ranks[rank] = { ...INITIAL_RANK_STATE, fencingNumber };
     },
   };
 }
@@ -115,9 +125,9 @@
             const fate = calm ? OrderFate.Answered : (fates.next().value as OrderFate);
             await pause(`order ${order.step} to ${rank}`);
             if (fate === OrderFate.Lost) throw new Error('lost');
-            const answer = group.obey(rank, order);
+            const answer = group.handleOrder(rank, order);
             if (fate === OrderFate.Doubled) {
-              void pause('late double').then(() => group.obey(rank, order));
+              void pause('late double').then(() => group.handleOrder(rank, order));
             }
             await pause('answer');
             if (fate === OrderFate.AnswerLost) throw new Error('answer lost');
@@ -146,16 +156,16 @@
               group: GROUP,
               ranks: RANKS,
               send,
-              lease: () => lease.tend(now),
-              noteCommitted: () => lease.noteWritten(),
+              lease: () => lease.renewOrAcquire(now),
+              onCommitted: () => lease.recordOwnWrite(),
             });
             return {
               rollout,
               async lead(at) {
                 now = at;
-                await lease.tend(now);
+                await lease.renewOrAcquire(now);
                 now += 1;
-                return lease.tend(now);
+                return lease.renewOrAcquire(now);
               },
             };
           }
@@ -164,7 +174,7 @@
             const leader = createLeader(holder);
             if ((await leader.lead(now)) === undefined) return;
             await leader.rollout.reconcile();
-            await leader.rollout.change({ experts: [[2], [0], [1]] });
+            await leader.rollout.rollOut({ experts: [[2], [0], [1]] });
           }
 
           const work = [run('one', 1), run('two', 10)];
@@ -191,8 +201,8 @@
           group.step();
           expect(group.violations).toEqual([]);
           const committed = table.state.read('groups/test/group/map')?.value as { version: number };
-          for (const { activeVersion, pausedFor } of group.ranks) {
-            expect([activeVersion, pausedFor]).toEqual([committed.version, 0]);
+          for (const { activeVersion, pausedForRollout } of group.ranks) {
+            expect([activeVersion, pausedForRollout]).toEqual([committed.version, 0]);
           }
           expect(group.steps.count).toBeGreaterThan(0);
         },
@@ -203,7 +213,7 @@
 
   it('refuses the orders of a leader that was frozen past its lease', () => {
     const order = { rollout: 1_000_001, mapVersion: 2 };
-    const fenced = planRankOrder(INITIAL_RANK, {
+    const fenced = planRankOrder(INITIAL_RANK_STATE, {
       ...order,
       step: RankStep.Query,
       fencingNumber: 2,
--- a/packages/placement/src/rollout.ts
+++ b/packages/placement/src/rollout.ts
@@ -42,7 +42,7 @@
   /** Renews the held lease; undefined once it is lost. */
   lease(): Promise<HeldLease | undefined>;
   /** The commit has written the lease row too: its version is one higher. */
-  noteCommitted(): void;
+  onCommitted(): void;
 }
 
 export enum RolloutOutcome {
@@ -56,10 +56,10 @@
 
 export interface Rollout {
   /** Rolls a new map out. */
-  change(map: ExpertMap): Promise<RolloutOutcome>;
+  rollOut(map: ExpertMap): Promise<RolloutOutcome>;
   /** Brings every rank onto the committed map, whatever state an earlier leader left behind. */
   reconcile(): Promise<RolloutOutcome>;
-  committed(): Promise<MapRecord | undefined>;
+  readCommitted(): Promise<MapRecord | undefined>;
 }
 
 /** Rollout numbers of one leader; those of the next begin above them. */
@@ -80,7 +80,7 @@
   }
 
   /** Sends one order to every rank at once; true when all accepted it. */
-  async function toAll(order: RankOrderMessage): Promise<boolean> {
+  async function sendToAll(order: RankOrderMessage): Promise<boolean> {
     const answers = await Promise.allSettled(
       Array.from({ length: ranks }, (_, rank) => options.send(rank, order)),
     );
@@ -89,7 +89,7 @@
     );
   }
 
-  async function readCommitted(): Promise<TableRow | null | undefined> {
+  async function readMapRow(): Promise<TableRow | null | undefined> {
     return table.read(key).catch(() => undefined);
   }
 
@@ -110,7 +110,7 @@
     try {
       const [result] = await table.transact([{ puts }]);
       if (result?.applied !== true) return RolloutOutcome.LeaseLost;
-      options.noteCommitted();
+      options.onCommitted();
       return RolloutOutcome.Done;
     } catch {
       // It may have taken effect. Going on either way could be wrong; the next reconciliation
@@ -119,42 +119,42 @@
     }
   }
 
-  async function goForward(order: RankOrderMessage): Promise<RolloutOutcome> {
+  async function completeRollout(order: RankOrderMessage): Promise<RolloutOutcome> {
     for (const step of [RankStep.Pause, RankStep.Switch, RankStep.Resume]) {
-      if (!(await toAll({ ...order, step }))) return RolloutOutcome.Unfinished;
+      if (!(await sendToAll({ ...order, step }))) return RolloutOutcome.Unfinished;
     }
     return RolloutOutcome.Done;
   }
 
   return {
-    async committed() {
-      const row = await readCommitted();
+    async readCommitted() {
+      const row = await readMapRow();
       return row === null || row === undefined ? undefined : (row.value as MapRecord);
     },
-    async change(map) {
+    async rollOut(map) {
       const lease = await options.lease();
       if (lease === undefined) return RolloutOutcome.LeaseLost;
-      const row = await readCommitted();
+      const row = await readMapRow();
       if (row === undefined) return RolloutOutcome.StoreUnavailable;
       const version = ((row?.value as MapRecord | undefined)?.version ?? 0) + 1;
       const { fencingNumber } = lease;
       const rollout = nextRollout(lease);
       const order = { step: RankStep.Prepare, fencingNumber, rollout, mapVersion: version, map };
-      const prepared = await toAll(order);
-      if (!prepared) {
-        await toAll({ ...order, step: RankStep.Abort });
+      const isPrepared = await sendToAll(order);
+      if (!isPrepared) {
+        await sendToAll({ ...order, step: RankStep.Abort });
         return RolloutOutcome.Aborted;
       }
       const current = await options.lease();
       if (current?.fencingNumber !== fencingNumber) return RolloutOutcome.LeaseLost;
-      const committed = await commit(current, row, { version, map, fencingNumber });
-      if (committed !== RolloutOutcome.Done) return committed;
-      return goForward(order);
+      const commitOutcome = await commit(current, row, { version, map, fencingNumber });
+      if (commitOutcome !== RolloutOutcome.Done) return commitOutcome;
+      return completeRollout(order);
     },
     async reconcile() {
       const lease = await options.lease();
       if (lease === undefined) return RolloutOutcome.LeaseLost;
-      const row = await readCommitted();
+      const row = await readMapRow();
       if (row === undefined) return RolloutOutcome.StoreUnavailable;
       if (row === null) return RolloutOutcome.Done;
       const { version, map } = row.value as MapRecord;
@@ -164,16 +164,17 @@
       const states = await Promise.allSettled(
         Array.from({ length: ranks }, (_, rank) => options.send(rank, order)),
       );
-      const settled = states.every(
+      const isOnCommittedMap = states.every(
         (state) =>
           state.status === 'fulfilled' &&
           state.value.code === ResultCode.Accepted &&
           state.value.activeVersion === version &&
           !state.value.paused,
       );
-      if (settled) return RolloutOutcome.Done;
-      if (!(await toAll({ ...order, step: RankStep.Prepare }))) return RolloutOutcome.Unfinished;
-      return goForward(order);
+      if (isOnCommittedMap) return RolloutOutcome.Done;
+      if (!(await sendToAll({ ...order, step: RankStep.Prepare })))
+        return RolloutOutcome.Unfinished;
+      return completeRollout(order);
     },
   };
 }
--- a/packages/placement/src/smooth-load.ts
+++ b/packages/placement/src/smooth-load.ts
@@ -3,13 +3,13 @@
  * would have a planner that believes it move experts back and forth for nothing.
  */
 export function smoothTokens(
-  before: readonly number[] | undefined,
+  previous: readonly number[] | undefined,
   window: readonly number[],
   smoothing: number,
 ): number[] {
-  if (before === undefined) return [...window];
+  if (previous === undefined) return [...window];
   return window.map((tokens, expert) => {
-    const known = before[expert] ?? 0;
-    return known + (tokens - known) * smoothing;
+    const previousTokens = previous[expert] ?? 0;
+    return previousTokens + (tokens - previousTokens) * smoothing;
   });
 }
--- a/packages/sidecar/src/group-leader.ts
+++ b/packages/sidecar/src/group-leader.ts
@@ -11,10 +11,10 @@
 import {
   createLease,
   createRollout,
-  INITIAL_CAUTION,
+  INITIAL_THRESHOLD_FACTOR,
   initialMap,
   MapDecisionKind,
-  planCaution,
+  planThresholdFactor,
   planMap,
   RankStep,
   RolloutOutcome,
@@ -61,7 +61,7 @@
   let stopped = false;
   let smoothed: number[] | undefined;
   let previous: ExpertMap | undefined;
-  let caution = INITIAL_CAUTION;
+  let caution = INITIAL_THRESHOLD_FACTOR;
   let lastWindowAt = -Infinity;
   let orderId = 0;
   const peerCalls = createPeerCalls(() => instance.hello());
@@ -126,8 +126,8 @@
       group: place.group,
       ranks: place.size,
       send,
-      lease: () => lease.tend(clock()),
-      noteCommitted: () => lease.noteWritten(),
+      lease: () => lease.renewOrAcquire(clock()),
+      onCommitted: () => lease.recordOwnWrite(),
     });
     return { lease, rollout };
   }
@@ -159,14 +159,14 @@
       { length: place.size },
       (_, rank) => statistics.get(rank)?.speed ?? 1,
     );
-    caution = planCaution(caution, committed.map, previous, { tokens, speeds });
+    caution = planThresholdFactor(caution, committed.map, previous, { tokens, speeds });
     previous = undefined;
     const load = { tokens: smoothed, speeds };
     const decision = planMap(committed.map, load, mapPolicy(), caution);
     const skew = `skew ${decision.skewBefore.toFixed(3)} -> ${decision.skewAfter.toFixed(3)}`;
     logDecision(decision.kind, `${decision.reason}; ${skew}; ${decision.moves} moves`);
     if (decision.kind === MapDecisionKind.Keep) return;
-    const outcome = await rollout.change(decision.map);
+    const outcome = await rollout.rollOut(decision.map);
     if (outcome === RolloutOutcome.Done) previous = committed.map;
     logDecision('rollout', outcome);
   }
@@ -179,9 +179,9 @@
     const policy = options.policy();
     if (clock() - lastWindowAt < policy.windowMilliseconds) return;
     lastWindowAt = clock();
-    const committed = await rollout.committed();
+    const committed = await rollout.readCommitted();
     if (committed === undefined) {
-      const outcome = await rollout.change(initialMap(policy.experts, place.size));
+      const outcome = await rollout.rollOut(initialMap(policy.experts, place.size));
       logDecision('first map', outcome);
       return;
     }
@@ -197,7 +197,7 @@
 
   async function tick(): Promise<void> {
     if (!isCandidate() || instance.state.configuration === undefined) return;
-    const held = await lease.tend(clock());
+    const held = await lease.renewOrAcquire(clock());
     if (held === undefined) {
       smoothed = undefined;
       lastWindowAt = -Infinity;
--- a/packages/sidecar/src/rank-agent.ts
+++ b/packages/sidecar/src/rank-agent.ts
@@ -4,7 +4,7 @@
  */
 import { ResultCode } from '@lapisbridge/errors';
 import type { Logger } from '@lapisbridge/logger';
-import { INITIAL_RANK, planRankOrder, RankStep } from '@lapisbridge/placement';
+import { INITIAL_RANK_STATE, planRankOrder, RankStep } from '@lapisbridge/placement';
 import type { ExpertMap, RankState } from '@lapisbridge/placement';
 import { MessageKind } from '@lapisbridge/wire';
 import type { RankOrder, RankReply } from '@lapisbridge/wire';
@@ -29,7 +29,7 @@
 
 export function createRankAgent(options: RankAgentOptions): RankAgent {
   const { engine, logger } = options;
-  let state: RankState = INITIAL_RANK;
+  let state: RankState = INITIAL_RANK_STATE;
   let fenced = false;
   let bootId = '';
   let queue: Promise<unknown> = Promise.resolve();
@@ -43,7 +43,7 @@
       ...state,
       activeVersion: status.activeVersion,
       preparedVersion: 0,
-      pausedFor: status.paused ? UNKNOWN_ROLLOUT : 0,
+      pausedForRollout: status.paused ? UNKNOWN_ROLLOUT : 0,
     };
   }
 
@@ -63,7 +63,7 @@
       orderId: order.orderId,
       code,
       activeVersion: state.activeVersion,
-      paused: state.pausedFor !== 0,
+      paused: state.pausedForRollout !== 0,
       statistics,
     };
   }
