--- a/packages/placement/src/expert-map.ts
+++ b/packages/placement/src/expert-map.ts
@@ -1,27 +1,28 @@
 /**
- * An expert map: which ranks of a group hold which experts of one layer set. Tokens of an
- * expert are spread evenly over the ranks that hold it.
+ * Expert maps: which ranks of a group hold which experts of one layer set. The tokens of an expert
+ * are divided evenly among the ranks that hold it.
  */
 export interface ExpertMap {
   /** For each rank, the experts it holds, in ascending order. */
   readonly experts: readonly (readonly number[])[];
 }
 
-/** What is known of the load: tokens per expert in one window, and the speed of each rank. */
+/** The load that a map is planned for. */
 export interface ExpertLoad {
+  /** Tokens of each expert in one window. */
   readonly tokens: readonly number[];
-  /** Relative speed, 1 for a healthy rank, less for a straggler. */
+  /** Relative speed of each rank: 1 for a healthy one, less for a straggler. */
   readonly speeds: readonly number[];
 }
 
-/** Spreads experts over ranks in order, as a first map. */
+/** The first map of a group: experts assigned to ranks round robin, without replicas. */
 export function initialMap(experts: number, ranks: number): ExpertMap {
   const held: number[][] = Array.from({ length: ranks }, () => []);
   for (let expert = 0; expert < experts; expert += 1) held[expert % ranks]?.push(expert);
   return { experts: held };
 }
 
-/** How many ranks hold each expert. */
+/** The number of ranks that hold each expert. */
 export function countReplicas(map: ExpertMap, experts: number): number[] {
   const replicas = new Array<number>(experts).fill(0);
   for (const held of map.experts) {
@@ -30,7 +31,7 @@
   return replicas;
 }
 
-/** Predicted time of each rank in one step, in units of tokens at full speed. */
+/** Predicted time of each rank for the load of one window, in tokens at full speed. */
 export function predictRankTimes(map: ExpertMap, load: ExpertLoad): number[] {
   const replicas = countReplicas(map, load.tokens.length);
   return map.experts.map((held, rank) => {
@@ -40,13 +41,13 @@
   });
 }
 
-/** Slowest rank against the mean; 1 is perfect. */
+/** Load imbalance: the time of the slowest rank divided by the mean; 1 is perfectly balanced. */
 export function skewOf(times: readonly number[]): number {
   const sum = times.reduce((total, time) => total + time, 0);
   return sum === 0 ? 1 : (Math.max(...times) * times.length) / sum;
 }
 
-/** For each rank, the experts that it holds after a change and not before, and has to load. */
+/** For each rank, the number of experts that it has to load for a change of maps. */
 export function countNewExpertsByRank(before: ExpertMap, after: ExpertMap): number[] {
   return after.experts.map((held, rank) => {
     const previousExperts = new Set(before.experts[rank]);
@@ -54,7 +55,7 @@
   });
 }
 
-/** Experts that are loaded for a change, over all ranks. */
+/** The number of experts that all ranks together have to load for a change of maps. */
 export function countNewExperts(before: ExpertMap, after: ExpertMap): number {
   return countNewExpertsByRank(before, after).reduce((sum, count) => sum + count, 0);
 }
--- a/packages/placement/src/group-model.ts
+++ b/packages/placement/src/group-model.ts
@@ -1,8 +1,7 @@
 /**
- * A model of a lock-step group under faults, for tests of the rollout: every order may be lost,
- * doubled or carried out much later; leaders end in the middle of a batch of orders and are
- * replaced; ranks fall out of sight; the group forms anew. It checks at each pass that all ranks
- * have one map.
+ * Simulation of a lock-step group under faults, for tests of the rollout. Orders are lost,
+ * duplicated or delayed; leaders stop in the middle of a batch of orders and are replaced; ranks
+ * become unreachable; the group re-forms. Each pass is checked for all ranks having the same map.
  */
 import { createRandom } from '@lapisbridge/kernel';
 
@@ -17,10 +16,13 @@
 import type { ArmedMap, GroupMap, RankOrder, RankReport } from './rank-report.js';
 
 interface ModelRank {
+  /** Version in force. */
   active: number;
   prepared: number | undefined;
   armed: ArmedMap | undefined;
+  /** Pass that the rank holds. */
   held: number | undefined;
+  /** Highest version prepared since the group formed. */
   highest: number;
 }
 
@@ -41,34 +43,34 @@
 export interface ModelOptions {
   readonly seed: number;
   readonly ranks: number;
-  /** Ticks with faults; as many without follow. */
+  /** Number of ticks with faults, which are followed by as many without. */
   readonly ticks: number;
   /**
-   * Reports of one look are read one after the other, and passes begin and late orders are carried
-   * out in between, as they are where a leader asks many ranks.
+   * Whether the reports of one round are read one after the other, with passes and delayed orders
+   * in between, as happens when a leader asks many ranks.
    */
   readonly readsReportsSequentially?: boolean;
-  /** As how often lost orders are expected to go out; holds are planned further ahead for it. */
+  /** See `RolloutInput`; holds are planned further ahead when it is higher. */
   readonly expectedOrderAttempts?: number;
-  /** A leader goes on from accepted orders to arm without reading all reports anew. */
+  /** Whether a leader continues after accepted orders to arm without reading all reports again. */
   readonly armsWithoutRereading?: boolean;
-  /** How ranks end holds by themselves, each at moments of its own; they do not without it. */
+  /** Decides when ranks end holds by themselves; they never do without it. */
   endHold?(report: RankReport): HoldEnd;
-  /** Changes a plan before it is carried out; for proofs that a mechanism matters. */
+  /** Changes a plan before it is carried out, to show that the tests detect a missing safeguard. */
   mutate?(plan: RolloutPlan, reports: readonly (RankReport | undefined)[]): RolloutPlan;
 }
 
 export interface ModelResult {
-  /** A pass began while two ranks had different maps. */
+  /** Tick at which a pass first started while two ranks had different maps. */
   readonly mixedMapsAt: number | undefined;
-  /** Passes begun while no fault happened any more. */
+  /** Passes started in the ticks without faults. */
   readonly faultFreePasses: number;
   readonly rollouts: number;
-  /** Orders by which ranks ended holds. */
+  /** Orders by which ranks ended holds by themselves. */
   readonly endedHolds: number;
 }
 
-/** Chances in one tick, or for one order. */
+/** Probabilities in each tick, or for each order. */
 const LOSS_PROBABILITY = 0.08;
 const DELAY_PROBABILITY = 0.15;
 const DUPLICATION_PROBABILITY = 0.08;
@@ -76,10 +78,10 @@
 const LEADER_STOP_PROBABILITY = 0.05;
 const REFORMATION_PROBABILITY = 0.01;
 const NEW_TARGET_PROBABILITY = 0.4;
-/** Between the reports of two ranks that are read apart. */
+/** Between the reports of two ranks that are read one after the other. */
 const INTERLEAVED_PASS_PROBABILITY = 0.15;
 const INTERLEAVED_ORDER_PROBABILITY = 0.3;
-/** A rank looks at its hold. */
+/** That a rank checks whether to end its hold. */
 const HOLD_CHECK_PROBABILITY = 0.3;
 const MAXIMUM_DELAY_TICKS = 40;
 
@@ -119,7 +121,7 @@
     };
   }
 
-  /** Carries an order out as the engine would; a refused one changes nothing. */
+  /** Carries out an order as the engine would; false when it is refused and changes nothing. */
   function applyOrder(rank: ModelRank, order: RankOrder): boolean {
     if (order.epoch !== epoch) return false;
     switch (order.kind) {
@@ -149,7 +151,7 @@
     }
   }
 
-  /** Whether the order was carried out at once, as its answer then says. */
+  /** Returns whether the order was accepted at once, which is what its answer tells the leader. */
   function deliver(addressed: AddressedOrder, now: number, isFaultFree: boolean): boolean {
     const rank = ranks[addressed.rank];
     const chance = random();
@@ -266,7 +268,9 @@
     return plan;
   }
 
-  /** One look of a leader; false when it ended in the middle of its orders. */
+  /**
+   * One round of reports and orders of a leader; false when it stopped in the middle of its orders.
+   */
   function runLeaderRound(leader: Leader, now: number, isFaultFree: boolean): boolean {
     const unreachableRank =
       !isFaultFree && random() < UNREACHABLE_PROBABILITY ? Math.floor(random() * size) : -1;
@@ -320,7 +324,7 @@
       reformGroup();
     }
     if (!runLeaderRound(leader, now, isFaultFree)) {
-      // Only a leader that was heard to be settled armed its own rank last.
+      // Only a leader that was known to be settled is sure to have armed its own rank last.
       leader = appointLeader(leader.state.isSettled ? leader.rank : undefined);
     }
     endHolds(now, isFaultFree);
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Expert maps: planning them, and bringing all ranks of a group onto one of them.
+ * Expert maps: planning them, and switching all ranks of a group to a new one.
  */
 export {
   countNewExperts,
--- a/packages/placement/src/lease.ts
+++ b/packages/placement/src/lease.ts
@@ -1,29 +1,30 @@
 /**
- * A lease on a group, held by one of its own sidecars. Nobody reads a clock of another
- * machine: the holder renews the row, and whoever has watched it unchanged for the lease time
- * on its own monotonic clock may take it over with a higher fencing number. Safety does not
- * rest on the lease: every effect is guarded by the fencing number or by the row's version.
+ * Leader lease of a group, held by one of its own sidecars. No clocks of different machines are
+ * compared: the holder renews a row of the table, and a sidecar that has seen the row unchanged for
+ * the lease time on its own monotonic clock may take it over with a higher fencing number. Safety
+ * does not depend on the lease: every effect is guarded by the fencing number or the row's version.
  */
 import { writeConditionally, WriteOutcome } from '@lapisbridge/platform';
 import type { Table } from '@lapisbridge/platform';
 
+/** Value of the lease row. */
 export interface LeaseRecord {
   readonly holder: string;
   readonly fencingNumber: number;
-  /** Chosen anew for each renewal, so that a writer recognises its own write. */
+  /** Unique for each renewal, so that a writer recognises its own write. */
   readonly nonce: string;
 }
 
 export interface HeldLease {
   readonly fencingNumber: number;
-  /** Version of the lease row, for transactions that must fail once the lease is lost. */
+  /** Version of the lease row, for transactions that have to fail once the lease is lost. */
   readonly rowVersion: number;
   readonly record: LeaseRecord;
 }
 
 export interface LeaseWatch {
   readonly rowVersion: number;
-  /** Monotonic milliseconds at which this version was first seen here. */
+  /** Monotonic time in milliseconds at which this process first saw this version. */
   readonly seenAt: number;
 }
 
@@ -41,12 +42,18 @@
 }
 
 export interface Lease {
-  /** Renews the held lease, or takes a lapsed one over; undefined when another holds it. */
+  /**
+   * Renews the held lease, or takes over an expired one; undefined when another sidecar holds it or
+   * the table could not be read or written. `now` is monotonic time in milliseconds.
+   */
   renewOrAcquire(now: number): Promise<HeldLease | undefined>;
-  /** Fencing number of the row as last read, also when another holds it. */
+  /** Highest fencing number seen in the row, also while another sidecar holds the lease. */
   readonly seenFencingNumber: number;
+  /** Forgets the held lease without changing the row. */
   drop(): void;
-  /** A transaction of the holder has written the row once more. */
+  /**
+   * Records that a transaction of the holder has written the row, which raises its version by one.
+   */
   recordOwnWrite(): void;
 }
 
--- a/packages/placement/src/map-draft.ts
+++ b/packages/placement/src/map-draft.ts
@@ -1,14 +1,15 @@
 /**
- * A map that is being changed, with what the changes do to each rank's time.
+ * A mutable copy of an expert map for the planner, with the predicted time of each rank.
  */
 import { countReplicas, predictRankTimes } from './expert-map.js';
 import type { ExpertLoad, ExpertMap } from './expert-map.js';
 
 export interface MapDraft {
+  /** For each rank, the experts that it holds. */
   readonly expertsByRank: Set<number>[];
   /**
-   * For each expert, the ranks that hold it. Looking through all ranks for them instead took a
-   * third of the planning of a group of 63 ranks.
+   * For each expert, the ranks that hold it. Searching all ranks for them instead took a third of
+   * the planning time of a group of 63 ranks.
    */
   readonly ranksByExpert: Set<number>[];
   readonly replicaCounts: number[];
@@ -36,14 +37,14 @@
   return slowest;
 }
 
-/** What a full rank can give up, and the slowest other holder of it afterwards. */
+/** A replica that a full rank can give up. */
 export interface Eviction {
   readonly expert: number;
   readonly share: number;
   readonly slowestHolderTime: number;
 }
 
-/** Slowest of the other ranks that hold an expert once one of its replicas is gone. */
+/** Time of the slowest other rank that holds an expert after one of its replicas is removed. */
 function slowestHolderTimeAfter(
   draft: MapDraft,
   load: ExpertLoad,
@@ -61,7 +62,10 @@
   return slowest;
 }
 
-/** The replica that a rank can give up at the least harm to the expert's other holders. */
+/**
+ * The replica that a rank can give up with the least effect on the expert's other holders;
+ * undefined when the rank holds the only copy of each of its experts.
+ */
 export function chooseEviction(
   draft: MapDraft,
   load: ExpertLoad,
--- a/packages/placement/src/plan-clearing.ts
+++ b/packages/placement/src/plan-clearing.ts
@@ -1,6 +1,6 @@
 /**
- * Clears away holds and arms that this leader did not ask for its target: what a former leader
- * left is finished where all ranks can be armed alike, and made void where that cannot be told.
+ * Clears holds and arms that do not belong to this leader's target. What a former leader left is
+ * completed if all ranks can be armed alike, and voided if that cannot be determined.
  */
 import { RankOrderKind } from './rank-report.js';
 import type { ArmedMap, RankOrder, RankReport } from './rank-report.js';
@@ -21,18 +21,18 @@
   RolloutTarget,
 } from './rollout-state.js';
 
-/** A rank that cannot be armed with anything but a version that nobody arms. */
+/** Whether a rank is not armed and has nothing prepared that any leader could arm. */
 function isVoided(report: RankReport, voidingTarget: RolloutTarget): boolean {
   if (report.armed !== undefined) return false;
   return report.preparedVersion === undefined || report.preparedVersion === voidingTarget.version;
 }
 
 /**
- * Disarms whoever is armed and prepares a newer version elsewhere: earlier arms are then void.
- * An order to disarm may be carried out late, when somebody has finished what was armed. So
- * none is sent before a rank is seen to hold the newer version: from then on the armed version
- * cannot be finished any more, by any leader. A rank that holds the pass is disarmed after all
- * others are void, since it may end its hold once it is not armed.
+ * Disarms the armed ranks and prepares a newer version at the others, which voids earlier orders to
+ * arm. An order to disarm may be carried out late, after a leader has completed what was armed. So
+ * none is sent before a rank is seen with the newer version prepared: from then on, no leader can
+ * complete the armed version. A rank that holds the pass is disarmed only after all others are
+ * voided, since it may end its hold once it is not armed.
  */
 function voidingOrders(
   reports: readonly RankReport[],
@@ -67,7 +67,7 @@
   return { phase: RolloutPhase.Clearing, orders, state };
 }
 
-/** A voided target cannot be prepared again: its version is below the voiding one. */
+/** Also drops the target, which cannot be prepared again: its version is below the voiding one. */
 function planVoiding(
   state: RolloutState,
   reports: readonly RankReport[],
@@ -77,7 +77,7 @@
   return clearingPlan({ ...state, target: undefined, armsSentUnderHold: false }, orders);
 }
 
-/** Releases a hold under which nothing is armed, and never uses its pass again. */
+/** Releases a hold under which nothing is armed, and records that its pass is not used again. */
 function planAbandonedStep(
   state: RolloutState,
   reports: readonly RankReport[],
@@ -87,7 +87,7 @@
   return clearingPlan({ ...state, abandonedSteps }, releaseOrders(reports, step, state.epoch));
 }
 
-/** Ranks are armed, and this leader did not arm them under the hold that stands. */
+/** Handles armed ranks that this leader did not arm under the current hold. */
 function planArmedClearing(
   input: RolloutInput,
   reports: readonly RankReport[],
@@ -106,8 +106,8 @@
     );
   }
   if (heldStep === undefined) {
-    // Nothing keeps the group from the pass: hold it before anything else, at an armed rank, since
-    // one that is not armed may end its hold.
+    // Nothing keeps the group from starting the pass, so it is held first. An armed rank holds it,
+    // since one that is not armed may end its hold.
     const armedRanks = reports.filter((report) => isArmedFor(report, version, step));
     const holder = armedRanks.find(({ rank }) => rank !== input.ownRank) ?? armedRanks[0];
     const order: RankOrder = { kind: RankOrderKind.Hold, epoch, step };
@@ -125,14 +125,15 @@
   );
 }
 
-/** A hold that this leader did not ask for its target, or arms without one. */
+/** Handles a hold that does not belong to this leader's target, or armed ranks without a hold. */
 export function planClearing(
   input: RolloutInput,
   reports: readonly RankReport[],
   heldStep: number | undefined,
 ): RolloutPlan {
   const { state, voidingTarget } = input;
-  // Since this leader saw the group free, only it can have armed ranks, and not for this pass.
+  // Since this leader saw the group with nothing held or armed, only it can have armed ranks, and
+  // it has not armed any for this pass.
   if (state.isSettled && heldStep !== undefined && heldStep !== state.heldStep) {
     return planAbandonedStep(state, reports, heldStep);
   }
@@ -146,7 +147,7 @@
   return planVoiding(state, reports, voidingTarget);
 }
 
-/** The former leader's rank is out of sight with its machine: clear what it left, no more. */
+/** Clears what the former leader left, and does no more, while its rank's report is missing. */
 export function planWithoutFormerLeader(
   input: RolloutInput,
   reports: readonly RankReport[],
@@ -156,7 +157,7 @@
   const armed = reports.find((report) => report.armed !== undefined)?.armed;
   const isAllArmed =
     armed !== undefined && reports.every((report) => isArmedFor(report, armed.version, armed.step));
-  // With all others armed the missing rank may be armed too: only its own report can tell.
+  // With all others armed, the missing rank may be armed too; only its own report can show that.
   if (heldStep === undefined || isAllArmed) {
     return { phase: RolloutPhase.IncompleteReports, orders: [], state };
   }
--- a/packages/placement/src/plan-full-map.ts
+++ b/packages/placement/src/plan-full-map.ts
@@ -1,6 +1,6 @@
 /**
- * Plans a map from nothing, as a baseline: hot experts are replicated into the spare slots,
- * then all replicas are packed, largest first, onto the rank that finishes earliest.
+ * Plans a map from scratch, as a baseline for comparisons: hot experts are replicated into the
+ * spare slots, and then all replicas are placed, largest first, on the rank that finishes earliest.
  */
 import type { ExpertLoad, ExpertMap } from './expert-map.js';
 
@@ -41,7 +41,7 @@
       if (bestRank < 0 || time < (times[bestRank] ?? 0) + share / (load.speeds[bestRank] ?? 1))
         bestRank = rank;
     }
-    // Every rank that has room holds the expert already: its tokens go to those.
+    // Every rank with a free slot already holds the expert, and processes this share as well.
     if (bestRank < 0) continue;
     expertsByRank[bestRank]?.add(expert);
     times[bestRank] = (times[bestRank] ?? 0) + share / (load.speeds[bestRank] ?? 1);
--- a/packages/placement/src/plan-group-map.ts
+++ b/packages/placement/src/plan-group-map.ts
@@ -1,9 +1,11 @@
 /**
- * Plans the next maps of a whole group, set by set. A pass lasts as long as the sum over the
- * sets of their most loaded rank, so each set is planned for itself. Loads are kept few: copying
- * them makes every pass longer just when passes are long already, and the first few bring most
- * of the gain: from a skew of 3 to 3.7, 17 to 23 loads lead to 1.25, where 41 led to 1.15 and took
- * 0.45 s of copying instead of 0.24 to 0.30 s (one day's changes on a group of twelve ranks).
+ * Plans the next maps of a whole group, one for each layer set. The duration of a pass is the sum
+ * over the sets of the time of their slowest rank, so each set is planned on its own.
+ *
+ * Few experts are loaded for one change, because copying them lengthens passes just when they are
+ * long already, and the first few bring most of the gain. In one day's changes on a group of twelve
+ * ranks, 17 to 23 loaded experts reduced a skew of 3 to 3.7 to 1.25 and took 0.24 to 0.30 s to
+ * copy; 41 reduced it to 1.15 and took 0.45 s.
  */
 import type { ExpertLoad, ExpertMap } from './expert-map.js';
 import { countNewExpertsByRank, predictRankTimes, skewOf } from './expert-map.js';
@@ -14,36 +16,36 @@
 export interface GroupMapPolicy {
   /** Experts that a rank can hold in one set. */
   readonly placesPerRank: number;
-  /** Experts of a set that a rank can load for one map. */
+  /** Experts of one set that a rank can load for one map. */
   readonly newPerRank: number;
-  /** Relative gain of a pass below which the maps are left alone. */
+  /** Relative reduction of the pass time below which the maps are kept. */
   readonly minimumGain: number;
 }
 
 export interface GroupMapDecision {
   readonly map: GroupMap;
-  /** Experts that are loaded. */
+  /** Experts that all ranks together have to load. */
   readonly moves: number;
-  /** Most loaded rank against the mean, over all sets. */
+  /** Sum over the sets of the slowest rank's time, divided by the sum of the mean times. */
   readonly skewBefore: number;
   readonly skewAfter: number;
   readonly isWorthwhile: boolean;
 }
 
-/** Skew of a set that is good enough: each further load costs a copy and gains little. */
+/** Skew of a set that is good enough: each further expert has to be copied and gains little. */
 const TARGET_SET_SKEW = 1.3;
-/** A set that is skewed more than this is worth more loads than are usually taken. */
+/** Skew from which a set may load more experts than usual. */
 const HIGH_SET_SKEW = 1.5;
 /**
- * Experts that one rank loads over all sets, unless a set stays badly skewed. A rank loads them
- * one after the other, and passes are longer until the last rank is done: with two the copy
- * takes half as long as with one in each of four sets.
+ * Experts that one rank loads over all sets, unless a set stays highly skewed. A rank loads them
+ * one after the other, and passes are longer until the last rank has finished. Two take half as
+ * long as one in each of four sets.
  */
 const USUAL_NEW_EXPERTS_PER_RANK = 2;
-/** Bound of the search, far above what it takes. */
+/** Upper bound of the search, far above the moves it needs. */
 const MAXIMUM_MOVES = 400;
 
-/** `loaded` holds what each rank loads for the sets planned so far. */
+/** `newExpertsByRank` counts the experts that each rank loads for the sets planned so far. */
 function planSet(
   current: ExpertMap,
   load: ExpertLoad,
@@ -76,10 +78,10 @@
   return best as MapDecision;
 }
 
-/** A plan on its way, set by set. */
+/** The plan of the sets handled so far. */
 interface GroupPlanDraft {
   readonly sets: ExpertMap[];
-  /** What each rank loads for the sets planned so far. */
+  /** Experts that each rank loads for the sets planned so far. */
   newExpertsByRank: readonly number[];
   slowestTimeBefore: number;
   slowestTimeAfter: number;
@@ -110,9 +112,9 @@
 }
 
 /**
- * `loads` holds one load for each set. `pause` is awaited between two sets: planning 8 sets of
- * 252 experts for 63 ranks takes 10 to 30 ms of a whole core, and three times that on a small
- * instance, in which no report would be read and no order sent.
+ * `loads` holds one load for each set; throws when one is missing. `yieldToEventLoop` is awaited
+ * between sets: planning 8 sets of 252 experts for 63 ranks takes 10 to 30 ms of a whole core, and
+ * three times that on a small instance, and no report is read and no order sent meanwhile.
  */
 export async function planGroupMap(
   current: GroupMap,
--- a/packages/placement/src/plan-hold-end.test.ts
+++ b/packages/placement/src/plan-hold-end.test.ts
@@ -21,7 +21,7 @@
   waiting: 0,
 };
 
-describe('a rank at which a hold stands', () => {
+describe('a rank that holds its group', () => {
   it('voids its prepared map before it releases the hold', () => {
     const version = voidingVersionOf(PREPARED);
     expect(planHoldEnd(HOLDING, 1000)).toEqual({ kind: HoldEndKind.Void, version });
@@ -29,7 +29,7 @@
     expect(planHoldEnd(voided, 1000)).toEqual({ kind: HoldEndKind.Release, step: 105 });
   });
 
-  it('releases the hold where nothing is prepared', () => {
+  it('releases the hold when nothing is prepared', () => {
     const plan = planHoldEnd({ ...HOLDING, preparedVersion: undefined }, 1000);
     expect(plan).toEqual({ kind: HoldEndKind.Release, step: 105 });
   });
@@ -40,7 +40,7 @@
     ['the group is broken', { isOpen: false }, 1000],
     ['nothing is held', { heldStep: undefined }, 1000],
     ['its leader may still act', {}, 100],
-  ])('keeps it while %s', (_, fields, waited) => {
+  ])('keeps the hold while %s', (_, fields, waited) => {
     expect(planHoldEnd({ ...HOLDING, ...fields }, waited).kind).toBe(HoldEndKind.Keep);
   });
 });
--- a/packages/placement/src/plan-hold-orders.test.ts
+++ b/packages/placement/src/plan-hold-orders.test.ts
@@ -56,8 +56,8 @@
 
 describe('orders of a rollout', () => {
   it('hold a pass that the group does not reach before all ranks are armed', () => {
-    // Held two passes ahead, a group with short passes stood still until the last rank was armed,
-    // and every open stream paused for longer than its readers bear.
+    // With a hold two passes ahead, a group with short passes waited until the last rank was armed,
+    // and every open stream paused for longer than its readers accept.
     for (const passMilliseconds of [30, 45, 90]) {
       const [first] = plan(prepared, settled, { passMilliseconds }).orders;
       const step = first?.order.kind === RankOrderKind.Hold ? first.order.step : 0;
@@ -65,9 +65,10 @@
     }
   });
 
-  it('hold further ahead where orders are left unanswered', () => {
-    // Ranks leave a tenth of their orders unanswered, and some have to be armed a second and a third
-    // time. Until the last of them is, a hold that was reached makes every open stream pause.
+  it('hold a later pass when orders are left unanswered', () => {
+    // Ranks leave a tenth of their orders unanswered, and some have to be told to arm a second or
+    // third time. If the group reaches the hold before the last one is armed, every open stream
+    // pauses.
     const stepOf = (expectedOrderAttempts: number): number => {
       const input = { passMilliseconds: 60, reportRoundMilliseconds: 60, expectedOrderAttempts };
       const [first] = plan(prepared, settled, input).orders;
@@ -77,8 +78,8 @@
   });
 
   it('hold at another rank than the leader’s own', () => {
-    // A leader that freezes takes the rank on its machine out of reach; a hold there would keep
-    // the group until it wakes.
+    // When a leader freezes, the rank on its machine cannot be reached, and a hold there would stop
+    // the group until the machine resumes.
     expect(plan(prepared, settled).orders[0]?.rank).not.toBe(0);
   });
 
@@ -94,8 +95,8 @@
     expect(plan(armed, armingState).orders.map(({ rank }) => rank)).toEqual([0]);
   });
 
-  it('clear a hold whose leader is out of sight, by voiding and then releasing', () => {
-    // The leader froze with its machine just after it held the group: rank 3 does not answer.
+  it('void and then release a hold whose leader is unreachable', () => {
+    // The leader's machine froze just after it held the group: rank 3 does not answer.
     const seen = prepared.map((one) => {
       if (one.rank === 3) return undefined;
       return one.rank === 1 ? { ...one, heldStep: 105 } : one;
@@ -110,7 +111,7 @@
     ]);
   });
 
-  it('leave a hold alone while a rank that may be armed is out of sight', () => {
+  it('keep a hold while the report of a rank that may be armed is missing', () => {
     const seen = prepared.map((one) => {
       if (one.rank === 3) return undefined;
       return one.rank === 1 ? { ...one, heldStep: 105 } : one;
@@ -118,7 +119,7 @@
     expect(plan(seen, {}, { formerRank: 2 }).orders).toEqual([]);
   });
 
-  it('release a hold of its own when ranks fall out of sight before any was armed', () => {
+  it('release the leader’s own hold when reports are missing before any rank was armed', () => {
     const seen = prepared.map((one) => (one.rank === 3 ? undefined : one));
     const { orders, state } = plan(seen, { ...settled, heldStep: 105 });
     expect(orders.map(({ order }) => order.kind)).toEqual([RankOrderKind.Release]);
@@ -127,7 +128,7 @@
 });
 
 describe('maps of a whole group', () => {
-  it('take the load off a hot expert with one load a rank and set', async () => {
+  it('relieve a hot expert by loading at most one expert per rank and set', async () => {
     const tokens = [100, 1, 1, 1, 1, 1, 1, 1];
     const load = { tokens, speeds: [1, 1, 1, 1] };
     const policy = { placesPerRank: 3, newPerRank: 1, minimumGain: 0.1 };
@@ -142,7 +143,7 @@
     }
   });
 
-  it('are left alone when the load is even', async () => {
+  it('stay in force when the load is even', async () => {
     const load = { tokens: new Array(8).fill(10), speeds: [1, 1, 1, 1] };
     const policy = { placesPerRank: 3, newPerRank: 1, minimumGain: 0.1 };
     const decision = await planGroupMap(MAP, [load], policy, async () => undefined);
--- a/packages/placement/src/plan-hold-rollout.test.ts
+++ b/packages/placement/src/plan-hold-rollout.test.ts
@@ -24,7 +24,7 @@
   });
 }
 
-/** How many of some seeds end in a pass with two maps. */
+/** Number of seeds that lead to a pass with two maps. */
 function countMixedRuns(mutate: Mutate): number {
   let mixed = 0;
   for (let seed = 1; seed <= RUNS; seed += 1) {
@@ -33,11 +33,12 @@
   return mixed;
 }
 
-describe('bringing a map into force in one pass', () => {
-  it('never lets a pass begin with two maps, whatever becomes of the orders', () => {
-    // Orders are lost, doubled or carried out long after they were given up, leaders end in the
-    // middle of their orders, ranks fall out of sight and groups form anew. Two maps in one pass
-    // send tokens to ranks that do not hold their expert: callers would get wrong text.
+describe('switching a group to a new map', () => {
+  it('never starts a pass with two maps when orders are lost, duplicated or delayed', () => {
+    // Orders are lost, duplicated or carried out long after the leader gave up on them, leaders
+    // stop in the middle of their orders, ranks become unreachable and groups re-form. A pass with
+    // two maps sends tokens to ranks that do not hold their expert, and callers would get wrong
+    // text.
     fc.assert(
       fc.property(fc.integer({ min: 1, max: 2 ** 31 - 1 }), (seed) => {
         expect(run(seed).mixedMapsAt).toBeUndefined();
@@ -47,22 +48,22 @@
   });
 
   it.each([970712535, 757228339, 116483])('keeps one map with seed %i', (seed) => {
-    // Three leaders in a row, an order to disarm that came late, a rank out of sight: each of
-    // these seeds once let a pass begin with two maps.
+    // Each of these seeds once led to a pass with two maps: three leaders in succession, an order
+    // to disarm that arrived late, a rank whose report was missing.
     expect(run(seed).mixedMapsAt).toBeUndefined();
   });
 
-  it('never does so either where holds are planned further ahead for orders that get lost', () => {
-    // Between the hold and its pass more passes run, and more leaders end in them.
+  it('never starts a pass with two maps when holds are planned further ahead', () => {
+    // More passes run between the order to hold and the held pass, and more leaders stop meanwhile.
     for (let seed = 1; seed <= RUNS; seed += 1) {
       const options = { seed, ranks: RANKS, ticks: TICKS, expectedOrderAttempts: 1 + (seed % 5) };
       expect(runGroupModel(options).mixedMapsAt, `seed ${seed}`).toBeUndefined();
     }
   });
 
-  it('never does so either where reports of one look are read one after the other', () => {
-    // A leader of many ranks reads their reports over some tenths of a second. Passes begin and
-    // late orders are carried out in between, so that no two reports need be of one moment.
+  it('never starts a pass with two maps when reports are read one after the other', () => {
+    // A leader of many ranks reads their reports over some tenths of a second. Passes start and
+    // late orders are carried out in between, so that no two reports need to show the same moment.
     for (let seed = 1; seed <= RUNS; seed += 1) {
       const result = run(seed, undefined, true);
       expect(result.mixedMapsAt, `seed ${seed}`).toBeUndefined();
@@ -71,21 +72,21 @@
   });
 
   it('leaves no group held once faults end', () => {
-    // A leader ends while it holds the group, or a hold arrives after it was given up. Nobody
-    // else would release it, and every caller of the group would wait for ever.
+    // A leader stops while it holds the group, or a hold takes effect after the leader gave up on
+    // it. If nothing else released it, every caller of the group would wait forever.
     for (let seed = 1; seed <= RUNS; seed += 1) {
       expect(run(seed).faultFreePasses, `seed ${seed}`).toBeGreaterThan(TICKS / 4);
     }
   });
 
-  it('does bring maps into force', () => {
+  it('brings maps into force', () => {
     let rollouts = 0;
     for (let seed = 1; seed <= 100; seed += 1) rollouts += run(seed).rollouts;
     expect(rollouts).toBeGreaterThan(500);
   });
 
   it('mixes maps when the group is released before all ranks are seen armed', () => {
-    // An order to arm that got no answer counts as done, and the group goes on without it.
+    // An unanswered order to arm is treated as carried out, and the group continues without it.
     const mixed = countMixedRuns((plan, reports) => {
       if (!plan.orders.some(({ order }) => order.kind === RankOrderKind.Arm)) return plan;
       const releases = reports.flatMap((report) =>
@@ -108,7 +109,7 @@
   });
 
   it('mixes maps when a successor releases a hold without making earlier orders void', () => {
-    // The leader before it had sent orders to arm that arrive only now.
+    // Orders to arm that the previous leader sent arrive only after the release.
     const mixed = countMixedRuns((plan, reports) => {
       const isVoiding = plan.orders.some(
         ({ order }) => order.kind === RankOrderKind.Prepare && plan.state.target === undefined,
@@ -151,8 +152,8 @@
     return mixed;
   }
 
-  it('never lets a pass begin with two maps', () => {
-    // The rank does not know its leader’s orders: they may be on their way, late or doubled, and so
+  it('never leads to a pass with two maps', () => {
+    // The rank does not know its leader’s orders: they may be in flight, late or duplicated, and so
     // may its own.
     let ended = 0;
     for (let seed = 1; seed <= RUNS; seed += 1) {
--- a/packages/placement/src/plan-hold-rollout.ts
+++ b/packages/placement/src/plan-hold-rollout.ts
@@ -1,26 +1,26 @@
 /**
- * Decides the next orders that bring a group onto one new map in one and the same pass. Pure:
- * fresh reports of all ranks and what this leader has done go in, orders come out.
+ * Decides the next orders that switch all ranks of a group to a new map in the same pass. Pure:
+ * fresh reports of all ranks and the state of this leader go in, orders come out.
  *
- * Any order may be lost, or carried out seconds after it was given up. So nothing rests on
- * order or time, only on what reports show:
+ * Any order may be lost, or carried out seconds after the leader has given up on it. So decisions
+ * do not depend on the sequence of orders or on time, only on what reports show:
  *
- * - a rank is armed only while a hold is seen to keep the group from beginning that pass, and
- *   only after the same version was seen prepared at every rank;
- * - a hold is released only when every rank is seen armed with one version for its pass, or
- *   when no rank can be armed any more: no rank was ever sent that order, or a newer version
- *   was prepared at every rank since, which makes every earlier order to arm void;
- * - after a release that armed nothing, that pass is never used again;
- * - a rank that holds the pass is armed before all others and disarmed after them: until it is
- *   armed it may end the hold by itself (`planHoldEnd`).
+ * - A rank is armed only while a hold is seen to keep the group from starting that pass, and only
+ *   after the same version was seen prepared at every rank.
+ * - A hold is released only when every rank is seen armed with one version for its pass, or when no
+ *   rank can be armed any more: no rank was ever sent that order, or a newer version has been
+ *   prepared at every rank since, which voids every earlier order to arm.
+ * - After a release with nothing armed, that pass is never used again.
+ * - A rank that holds the pass is armed before all others and disarmed after them, because it may
+ *   end the hold by itself until it is armed (`planHoldEnd`).
  *
- * A leader that takes over finds holds it knows nothing of. It finishes what was armed, since
- * its predecessor armed only what all had prepared; what it cannot tell it makes void.
+ * A leader that takes over may find holds it knows nothing of. It completes what was armed, since
+ * its predecessor armed only what every rank had prepared, and voids what it cannot determine.
  *
- * The leader may freeze with its whole machine, rank and all, while a hold stands, and every
- * caller would wait for it. So holds stand at another rank, and a leader arms its own rank last:
- * as long as another rank is not armed, the frozen one is not either, and its successor can
- * clear the hold without it.
+ * The leader may freeze together with the rank on its machine while the group is held, and every
+ * caller would wait for it. So the group is held at another rank, and a leader arms its own rank
+ * last: as long as another rank is not armed, the frozen one is not armed either, and the next
+ * leader can clear the hold without it.
  */
 import { planClearing, planWithoutFormerLeader } from './plan-clearing.js';
 import { RankOrderKind } from './rank-report.js';
@@ -38,26 +38,26 @@
 import type { RolloutInput, RolloutPlan, RolloutTarget } from './rollout-state.js';
 
 /**
- * Shortest time from the order to hold until the release arrives, in milliseconds: three rounds
- * of reports and orders of about 30 ms each, and slack. The group must not reach the held pass
- * sooner, or all its streams pause.
+ * Shortest time from the order to hold until the release arrives: three rounds of reports and
+ * orders of about 30 ms each, and slack. If the group reaches the held pass sooner, all its streams
+ * pause.
  */
 const MINIMUM_ROLLOUT_MILLISECONDS = 160;
-/** Rounds of reports or of orders from the hold to the release; orders take about as long. */
+/** Rounds of reports or orders from the hold to the release; both take about as long. */
 const ROUNDS_PER_ROLLOUT = 4;
-/** An order that got no answer takes a look and another round of orders. */
+/** An order without an answer takes another round of reports and another round of orders. */
 const ROUNDS_PER_RETRY = 2;
 const SLACK_MILLISECONDS = 20;
 const MINIMUM_STEPS_AHEAD = 2;
-/** Further ahead the old map would stay in force for long. */
+/** With more steps the old map would stay in force too long. */
 const MAXIMUM_STEPS_AHEAD = 12;
 
-/** The pass that runs when a report is read is half over on average. */
+/** On average, half of the running pass is over when a report is read. */
 const RUNNING_PASS_SHARE = 0.5;
 
 /**
- * Passes between the one that runs and the one that is held. One more than needed costs a whole
- * pass with the old map; one too few, and all streams of the group pause.
+ * Number of passes from the running one to the one to hold. One too many costs a whole pass with
+ * the old map; with one too few, all streams of the group pause.
  */
 function stepsAhead({
   passMilliseconds,
@@ -79,11 +79,14 @@
 
 interface GroupView {
   readonly reports: readonly RankReport[];
-  /** Every rank is in the view; otherwise only the former leader's is missing. */
+  /** Whether every rank has reported; otherwise only the former leader's rank is missing. */
   readonly isComplete: boolean;
 }
 
-/** Reports of one epoch: of all ranks, or of all but the former leader's. */
+/**
+ * The ranks' reports; undefined when the group is broken, the reports are of different epochs, or
+ * any is missing other than that of the former leader's rank.
+ */
 function groupViewOf(input: RolloutInput): GroupView | undefined {
   const seen: RankReport[] = [];
   let isComplete = true;
@@ -103,7 +106,7 @@
     : undefined;
 }
 
-/** Under this leader's own hold: arm every rank, then let the group go on. */
+/** Under this leader's own hold: arms every rank, then releases the hold. */
 function planArming(
   input: RolloutInput,
   reports: readonly RankReport[],
@@ -131,6 +134,7 @@
   return { phase: RolloutPhase.Arming, orders, state: armingState };
 }
 
+/** Prepares the target at every rank, then holds a later pass. */
 function planPreparing(
   input: RolloutInput,
   reports: readonly RankReport[],
@@ -157,7 +161,7 @@
   };
 }
 
-/** Ranks are out of sight: a hold under which nothing was armed must not keep the others. */
+/** Releases this leader's hold if nothing was armed under it, so that the group does not wait. */
 function planWithIncompleteReports(input: RolloutInput): RolloutPlan {
   const { state } = input;
   const { heldStep, epoch } = state;
@@ -172,15 +176,16 @@
   };
 }
 
+/** Plans the next orders and the state of the leader after they were sent. */
 export function planHoldRollout(input: RolloutInput): RolloutPlan {
   const view = groupViewOf(input);
   if (view === undefined) return planWithIncompleteReports(input);
   const { reports, isComplete } = view;
   const epoch = reports[0]?.epoch ?? 0;
-  // Nothing of an earlier epoch is left: the group formed anew with its first map.
+  // Nothing of an earlier epoch remains: the group has re-formed with its first map.
   const knownState = epoch === input.state.epoch ? input.state : initialRolloutState(epoch);
   if (!isComplete) {
-    // What this leader began itself it can judge only with all ranks in sight.
+    // What this leader has started itself can be decided only with the reports of all ranks.
     if (knownState.target !== undefined || knownState.armsSentSinceSettled)
       return planWithIncompleteReports({ ...input, state: knownState });
     return planWithoutFormerLeader({ ...input, state: knownState }, reports);
@@ -188,7 +193,7 @@
   const heldStep = lowestHeldStep(reports);
   const isAnyArmed = reports.some((report) => report.armed !== undefined);
   const isGroupFree = heldStep === undefined && !isAnyArmed;
-  // Where the hold was ended before all ranks were armed, nothing of it is left.
+  // If the hold was ended before all ranks were armed, nothing of it remains.
   const state = isGroupFree
     ? { ...knownState, isSettled: true, armsSentSinceSettled: false, armsSentUnderHold: false }
     : knownState;
--- a/packages/placement/src/plan-map.test.ts
+++ b/packages/placement/src/plan-map.test.ts
@@ -34,7 +34,7 @@
 
 describe('a planned map', () => {
   it('holds every expert, within the slots, in few moves, and is never slower', () => {
-    // An expert that no rank holds would leave its tokens without a place in every step.
+    // The tokens of an expert that no rank holds could not be processed in any step.
     fc.assert(
       fc.property(fc.array(loads, { minLength: 1, maxLength: 6 }), (windows) => {
         let map = initialMap(32, 8);
@@ -66,9 +66,9 @@
     expect(skewOf(predictRankTimes(map, { tokens, speeds }))).toBeLessThan(before / 2);
   });
 
-  it('is left alone while the load alternates', () => {
-    // Popularity swings back and forth each window. A planner that follows each swing would move
-    // experts for ever, and the group would stall for a gain that is gone before it comes.
+  it('stays in force while the load alternates', () => {
+    // The load swings back and forth in each window. A planner that followed it would keep moving
+    // experts, and the group would stall for gains that are lost in the next window.
     const even = Array.from({ length: 32 }, (_, expert) => (expert % 2 === 0 ? 130 : 100));
     const odd = Array.from({ length: 32 }, (_, expert) => (expert % 2 === 0 ? 100 : 130));
     const speeds = new Array<number>(8).fill(1);
--- a/packages/placement/src/plan-map.ts
+++ b/packages/placement/src/plan-map.ts
@@ -1,6 +1,7 @@
 /**
- * Plans the next expert map from the one in force: a few moves that take load off the slowest
- * rank, and only if what they gain over the horizon is worth what they cost.
+ * Plans the next expert map from the one in force: a greedy local search makes a few moves that
+ * relieve the slowest rank, and the result is used only if it gains more over the horizon than the
+ * moves cost.
  */
 import { predictRankTimes, skewOf } from './expert-map.js';
 import type { ExpertLoad, ExpertMap } from './expert-map.js';
@@ -17,16 +18,18 @@
 import { INITIAL_THRESHOLD_FACTOR } from './plan-threshold-factor.js';
 
 export interface MapPolicy {
+  /** Experts that one rank can hold. */
   readonly slotsPerRank: number;
   readonly maximumMoves: number;
+  /** Steps over which a new map has to recover its cost. */
   readonly horizonSteps: number;
-  /** Relative gain below which the map is left alone. */
+  /** Relative reduction of the step time below which the map is kept. */
   readonly minimumGain: number;
-  /** Stall that moving one expert costs, in steps. */
+  /** Time that the group stalls for each moved expert, in steps. */
   readonly moveCostSteps: number;
-  /** Experts that each rank can load for one new map; no bound when undefined. */
+  /** Experts that each rank may load for one new map; unlimited when undefined. */
   readonly maximumNewExpertsByRank?: readonly number[];
-  /** Skew at which the search ends, since further moves would cost more than they bring. */
+  /** Skew at which the search ends, because further moves would cost more than they gain. */
   readonly targetSkew?: number;
 }
 
@@ -44,21 +47,24 @@
   readonly reason: string;
 }
 
-/** One move: an expert comes to a rank; it may leave its old rank, or push another one out. */
+/** Adds an expert to a rank. It is moved or replicated, and may evict a replica there. */
 interface Move {
   readonly expert: number;
   readonly to: number;
-  /** Rank that gives the expert up; undefined when it stays there as a replica. */
+  /** Rank that the expert is removed from; undefined when it stays there as a replica. */
   readonly from: number | undefined;
-  /** Expert that leaves the receiving rank to make room. */
+  /** Expert that the receiving rank gives up to free a slot. */
   readonly evicted: number | undefined;
-  /** Slowest of the ranks that the move touches, afterwards. */
+  /** Time of the slowest affected rank after the move. */
   readonly slowestTime: number;
-  /** Time of the receiving rank afterwards. */
+  /** Time of the receiving rank after the move. */
   readonly toTime: number;
 }
 
-/** The best form of moving one expert to one rank; undefined when it does not fit. */
+/**
+ * Moving or replicating one expert to one rank, whichever is faster; undefined when the rank
+ * already holds the expert or would evict it.
+ */
 function evaluateMove(
   draft: MapDraft,
   load: ExpertLoad,
@@ -97,14 +103,16 @@
   };
 }
 
-/** Ties go to the rank that ends up least loaded, so that free slots are used before replicas are given up. */
+/**
+ * Ties go to the least loaded receiver, so that free slots are used before replicas are evicted.
+ */
 function isBetterMove(move: Move, best: Move | undefined): boolean {
   if (best === undefined) return true;
   if (move.slowestTime !== best.slowestTime) return move.slowestTime < best.slowestTime;
   return move.toTime < best.toTime;
 }
 
-/** An exchange of two experts between full ranks; it counts as two moves. */
+/** A swap of two experts between two ranks, which also works when both are full; two moves. */
 interface Swap {
   readonly outgoing: number;
   readonly incoming: number;
@@ -112,19 +120,19 @@
   readonly slowestTime: number;
 }
 
-/** Whether a rank may take an expert: it held it before, or has loads left. */
+/** Whether a rank may receive an expert: it held it before, or is below its limit of new ones. */
 type CanReceive = (rank: number, expert: number) => boolean;
 
-/** Tells, for the draft as it is now, what each rank may take against the map in force. */
+/** Creates the check for the current state of the draft. */
 type CreateCanReceive = () => CanReceive;
 
-/** Bounds what each rank loads against the map in force. */
+/** Limits the experts that each rank has to load compared with the map in force. */
 function limitNewExperts(current: ExpertMap, draft: MapDraft, policy: MapPolicy): CreateCanReceive {
   const { maximumNewExpertsByRank } = policy;
   if (maximumNewExpertsByRank === undefined) return () => () => true;
   const before = current.experts.map((experts) => new Set(experts));
   return () => {
-    // Counted once a move: each of the thousands of questions that follow would count it again.
+    // Counted once for each move rather than in each of the thousands of checks that follow.
     const isAtLimit = draft.expertsByRank.map((held, rank) => {
       let newExperts = 0;
       for (const expert of held) if (before[rank]?.has(expert) !== true) newExperts += 1;
@@ -200,7 +208,10 @@
   addReplica(draft, swap.otherRank, swap.outgoing);
 }
 
-/** Takes load off the slowest rank until nothing helps or the moves are used up. */
+/**
+ * Relieves the slowest rank until no move helps, the target skew is reached or the moves are used
+ * up. Returns the number of moves made.
+ */
 function rebalance(
   draft: MapDraft,
   load: ExpertLoad,
@@ -217,7 +228,7 @@
     const move = findBestMove(draft, load, policy, from, canReceive);
     const hasMovesForSwap = policy.maximumMoves - moves >= 2;
     const swap = hasMovesForSwap ? findBestSwap(draft, load, from, canReceive) : undefined;
-    // An exchange loads two experts, so it has to be better by more than a single move.
+    // A swap loads two experts, so it has to gain more than twice as much as a single move.
     const isSwapBetter =
       swap !== undefined &&
       currentSlowestTime - swap.slowestTime >
@@ -236,7 +247,7 @@
   return moves;
 }
 
-/** `caution` multiplies what a change has to gain; see `planCaution`. */
+/** `thresholdFactor` multiplies the gain that a change needs; see `planThresholdFactor`. */
 export function planMap(
   current: ExpertMap,
   load: ExpertLoad,
@@ -255,11 +266,11 @@
     reason,
   });
   const moves = rebalance(draft, load, policy, limitNewExperts(current, draft, policy));
-  if (moves === 0) return keepCurrent('no move helps');
+  if (moves === 0) return keepCurrent('no move relieves the slowest rank');
   const slowestTimeAfter = Math.max(...draft.rankTimes);
   const gain = (slowestTimeBefore - slowestTimeAfter) / slowestTimeBefore;
   if (gain < policy.minimumGain * thresholdFactor)
-    return keepCurrent(`gain of ${gain.toFixed(3)} is too small`);
+    return keepCurrent(`gain of ${gain.toFixed(3)} is below the minimum`);
   const gainedSteps = gain * policy.horizonSteps;
   const costSteps = moves * policy.moveCostSteps * thresholdFactor;
   if (gainedSteps <= costSteps) return keepCurrent(`${moves} moves cost more than they gain`);
@@ -270,6 +281,6 @@
     moves,
     skewBefore,
     skewAfter: skewOf(predictRankTimes(map, load)),
-    reason: `gains ${gainedSteps.toFixed(0)} steps for ${costSteps.toFixed(0)}`,
+    reason: `gains ${gainedSteps.toFixed(0)} steps at a cost of ${costSteps.toFixed(0)}`,
   };
 }
--- a/packages/placement/src/plan-rank-order.ts
+++ b/packages/placement/src/plan-rank-order.ts
@@ -1,7 +1,7 @@
 /**
- * What one rank's sidecar does with an order of its group's leader. Two rules keep all ranks
- * on one map in every step: a rank changes its map only while it is paused, and it goes on
- * only when told to by the leader that knows that every rank has changed.
+ * Decides how one rank's sidecar handles an order of its group's leader. Pure. Two rules keep all
+ * ranks on one map in every step: a rank changes its map only while it is paused, and it resumes
+ * only on the order of a leader that knows that every rank has changed.
  */
 import { ResultCode } from '@lapisbridge/errors';
 
@@ -11,20 +11,20 @@
   Pause = 'pause',
   Switch = 'switch',
   Resume = 'resume',
-  /** Ends a rollout that was not committed: the old map goes on. */
+  /** Ends a rollout that was not committed; the old map stays in force. */
   Abort = 'abort',
 }
 
 export interface RankState {
-  /** Highest fencing number seen: orders of an earlier leader are refused. */
+  /** Highest fencing number seen; orders of earlier leaders are refused. */
   readonly fencingNumber: number;
-  /** Highest rollout that was resumed or aborted here: its late orders are refused. */
+  /** Highest rollout that was resumed or aborted here; its late orders are refused. */
   readonly closedRollout: number;
-  /** Latest rollout seen: orders of an earlier one are refused. */
+  /** Latest rollout seen; orders of earlier ones are refused. */
   readonly currentRollout: number;
   readonly activeVersion: number;
   readonly preparedVersion: number;
-  /** Rollout for which the rank is paused, 0 when it runs. */
+  /** Rollout for which the rank is paused; 0 while it runs. */
   readonly pausedForRollout: number;
 }
 
@@ -38,7 +38,7 @@
 export interface RankDecision {
   readonly code: ResultCode;
   readonly state: RankState;
-  /** What the engine has to do before the new state holds; undefined for nothing. */
+  /** What the engine has to do before the new state is valid; undefined when nothing. */
   readonly effect: Exclude<RankStep, RankStep.Query | RankStep.Abort> | undefined;
 }
 
@@ -71,8 +71,8 @@
     const fencedState = { ...state, fencingNumber: order.fencingNumber };
     return { code: ResultCode.Accepted, state: fencedState, effect: undefined };
   }
-  // A leader that was frozen past its lease, or a datagram late by minutes, would otherwise
-  // pause, switch or resume a single rank, and the group would step on two maps.
+  // Otherwise a leader that was frozen past its lease, or a datagram delayed by minutes, would
+  // pause, switch or resume a single rank, and the group would run a step with two maps.
   if (isStale(state, order)) return refuse(state, ResultCode.StaleFencingNumber);
   const updated = {
     ...state,
--- a/packages/placement/src/plan-threshold-factor.ts
+++ b/packages/placement/src/plan-threshold-factor.ts
@@ -1,7 +1,8 @@
 /**
- * How much more than the policy's minimum a change has to gain. A load that swings back and
- * forth tempts a planner to follow each swing; each time the next window shows that the map
+ * Sets the gain that a change of maps needs, as a multiple of the policy's minimum. Following each
+ * swing of the load would move experts without a gain. So if the next window shows that the map
  * before the change would have been better, the next change has to gain twice as much.
+ * Otherwise the factor decays to 1.
  */
 import { predictRankTimes } from './expert-map.js';
 import type { ExpertLoad, ExpertMap } from './expert-map.js';
--- a/packages/placement/src/rank-report.ts
+++ b/packages/placement/src/rank-report.ts
@@ -1,38 +1,42 @@
 /**
- * What one rank of a lock-step group says of itself, and the orders it takes. The engine
- * switches a rank to a prepared map as the pass begins for which it was armed; a hold keeps the
- * whole group from beginning a pass until it is released at that rank.
+ * Reports of one rank of a lock-step group, and the orders that it accepts. All ranks run each
+ * forward pass together. The engine switches a rank to its prepared map at the start of the pass
+ * that the rank is armed for. A hold at one rank keeps the whole group from starting a pass until
+ * that rank is told to release it.
  */
 import type { ExpertMap } from './expert-map.js';
 
+/** A prepared map that comes into force at the start of a pass. */
 export interface ArmedMap {
   readonly version: number;
+  /** Number of that pass. */
   readonly step: number;
 }
 
 export interface RankReport {
   readonly group: string;
   readonly rank: number;
-  /** Ranks of the group. */
+  /** Number of ranks in the group. */
   readonly size: number;
-  /** Rises each time the group forms anew; it then has its first map and no orders. */
+  /** Increases each time the group re-forms; it then has its first map and no pending orders. */
   readonly epoch: number;
+  /** False while the group is broken. */
   readonly isOpen: boolean;
-  /** Last pass that was begun. */
+  /** Number of the last pass that was started. */
   readonly step: number;
   readonly activeVersion: number;
-  /** Version whose experts are all loaded, ready to be armed. */
+  /** Version whose experts are all loaded, so that it can be armed. */
   readonly preparedVersion: number | undefined;
   readonly armed: ArmedMap | undefined;
-  /** Pass that this rank keeps the group from beginning. */
+  /** Number of the pass that this rank keeps the group from starting. */
   readonly heldStep: number | undefined;
-  /** How much slower than usual this rank is; 1 when sound. */
+  /** Slowdown of this rank compared with its usual speed; 1 when healthy. */
   readonly pace: number;
   readonly running: number;
   readonly waiting: number;
 }
 
-/** Maps of one group: one for each set of layers. */
+/** Maps of one group, one for each layer set. */
 export interface GroupMap {
   readonly sets: readonly ExpertMap[];
 }
@@ -63,12 +67,12 @@
   | { readonly kind: RankOrderKind.Release; readonly epoch: number; readonly step: number };
 
 export enum OrderOutcome {
-  /** Begun or done. */
+  /** Started or completed. */
   Accepted = 'accepted',
-  /** The rank's state does not fit. */
+  /** The order does not fit the rank's state. */
   Refused = 'refused',
-  /** A newer leader's orders are in force. */
+  /** A newer leader's orders are in force, and this leader's are refused. */
   Fenced = 'fenced',
-  /** No answer: it may be carried out yet, even seconds later. */
+  /** No answer: the order may still be carried out, even seconds later. */
   Unknown = 'unknown',
 }
--- a/packages/placement/src/rollout-state.ts
+++ b/packages/placement/src/rollout-state.ts
@@ -1,6 +1,6 @@
 /**
- * What a leader knows and sends while it brings a map into force, and the orders that the steps
- * of a rollout share.
+ * State, input and plan of a leader that brings a new map into force, and the orders that the
+ * phases of a rollout share.
  */
 import { RankOrderKind } from './rank-report.js';
 import type { GroupMap, RankOrder, RankReport } from './rank-report.js';
@@ -13,17 +13,17 @@
 
 export interface RolloutState {
   readonly epoch: number;
-  /** Undefined when nothing is to be changed. */
+  /** Undefined while no map is to be brought into force. */
   readonly target: RolloutTarget | undefined;
-  /** Pass that this leader asked to hold for its target. */
+  /** Pass that this leader has ordered to be held for its target. */
   readonly heldStep: number | undefined;
   /** Whether an order to arm may have been sent under that hold. */
   readonly armsSentUnderHold: boolean;
-  /** Passes whose hold was released with nothing armed; they are never armed for. */
+  /** Passes whose hold was released while nothing was armed; ranks are never armed for them. */
   readonly abandonedSteps: ReadonlySet<number>;
-  /** Whether this leader has seen the group whole, with no hold and nothing armed. */
+  /** Whether this leader has seen reports of all ranks, with no hold and nothing armed. */
   readonly isSettled: boolean;
-  /** Whether it sent orders to arm since it last saw the group so. */
+  /** Whether it has sent orders to arm since it last saw the group in that state. */
   readonly armsSentSinceSettled: boolean;
 }
 
@@ -33,15 +33,15 @@
 }
 
 export enum RolloutPhase {
-  /** Not every rank's state is known, or the group is broken. */
+  /** Reports of some ranks are missing, or the group is broken. */
   IncompleteReports = 'blind',
   Idle = 'idle',
   Preparing = 'preparing',
   Holding = 'holding',
   Arming = 'arming',
-  /** Every rank is armed and the group goes on. */
+  /** Every rank is armed, and the hold is released. */
   Releasing = 'releasing',
-  /** A hold of unknown origin is cleared away. */
+  /** Holds and arms that this leader did not ask for are cleared. */
   Clearing = 'clearing',
   Done = 'done',
 }
@@ -54,21 +54,22 @@
 
 export interface RolloutInput {
   readonly state: RolloutState;
-  /** Fresh reports by rank; undefined where none could be had. */
+  /** Fresh reports by rank; undefined where none could be read. */
   readonly reports: readonly (RankReport | undefined)[];
   readonly ownRank: number;
   /**
-   * Rank of the leader before this one, if it is known to have seen the group free: it armed
-   * its own rank last. One that never did may have found orders of yet another leader.
+   * Rank of the leader before this one, if it is known to have seen the group with no hold and
+   * nothing armed, so that it armed its own rank last. A leader that never saw this may have found
+   * orders of an even earlier leader.
    */
   readonly formerRank: number | undefined;
-  /** How long a pass takes now. */
+  /** Current duration of a pass. */
   readonly passMilliseconds: number;
-  /** How long it took to read all ranks' reports: more ranks take a leader longer. */
+  /** Time taken to read the reports of all ranks, which grows with their number. */
   readonly reportRoundMilliseconds: number;
-  /** Times that an order goes out until most likely every rank has taken it; 1 without losses. */
+  /** Attempts after which every rank has most likely received an order; 1 without losses. */
   readonly expectedOrderAttempts: number;
-  /** A version and the map in force, to make earlier orders void with. */
+  /** The map in force under a newer version, which voids earlier orders once it is prepared. */
   readonly voidingTarget: RolloutTarget;
 }
 
@@ -84,6 +85,7 @@
   };
 }
 
+/** Collects the orders that `select` returns for the ranks' reports. */
 export function selectOrders(
   reports: readonly RankReport[],
   select: (report: RankReport) => RankOrder | undefined,
@@ -96,19 +98,21 @@
   return orders;
 }
 
-/** The rank that holds the group: another machine's than this leader's, where there is one. */
+/** The rank to hold the group at: one on another machine than this leader's, if there is one. */
 export function holdingRankOf(input: RolloutInput): number {
   return (input.ownRank + 1) % input.reports.length;
 }
 
-/** A rank that holds the pass and is armed for it: it does not end its hold by itself. */
+/**
+ * Whether a rank holds the pass and is armed for it, so that it does not end the hold by itself.
+ */
 function isArmedHolder(report: RankReport, version: number, step: number): boolean {
   return report.heldStep === step && isArmedFor(report, version, step);
 }
 
 /**
- * Orders to arm whoever is not armed yet: first a rank that holds the pass, which may end its hold
- * until it is armed, then all others, and this leader's own rank last.
+ * Orders to arm the ranks that are not armed yet: first a rank that holds the pass, because it may
+ * end its hold until it is armed, then all others, and this leader's own rank last.
  */
 export function planArmOrders(
   input: RolloutInput,
@@ -155,8 +159,8 @@
 }
 
 /**
- * Reports as they are after these orders were accepted. Undefined where reports have to be read
- * anew: an order to arm is carried out when it is answered, others may take effect later.
+ * The reports after these orders were accepted; undefined when they have to be read again. An order
+ * to arm has been carried out when it is answered, while other orders may take effect later.
  */
 export function reportsAfterOrders(
   reports: readonly (RankReport | undefined)[],
--- a/packages/placement/src/rollout.test.ts
+++ b/packages/placement/src/rollout.test.ts
@@ -1,5 +1,6 @@
 /**
- * One expert map per step, whatever becomes of leaders, ranks, orders and the table.
+ * All ranks run each step with one expert map despite faults of leaders, ranks, orders and the
+ * table.
  */
 import { ResultCode } from '@lapisbridge/errors';
 import { CallFate, createFakeTable } from '@lapisbridge/test-support';
@@ -19,7 +20,7 @@
 const ENVIRONMENT = 'test';
 const GROUP = 'group';
 
-/** A group in lock-step: a step is made only while no rank is paused, by all ranks together. */
+/** A lock-step group: all ranks run each step together, and only while none is paused. */
 function createGroup(): {
   readonly ranks: RankState[];
   handleOrder(rank: number, order: RankOrderMessage): RankAnswer;
@@ -36,7 +37,7 @@
   const steps = { count: 0 };
 
   function step(): void {
-    // A restarted rank has no map and takes no part until it is given the committed one.
+    // A restarted rank has no map, and the group runs no step until it has the committed one.
     if (
       ranks.some(
         ({ pausedForRollout, activeVersion }) => pausedForRollout !== 0 || activeVersion === 0,
@@ -70,7 +71,7 @@
   Answered = 'answered',
   Lost = 'lost',
   AnswerLost = 'answerLost',
-  /** Arrives, and arrives a second time much later. */
+  /** Arrives twice, the second time much later. */
   Doubled = 'doubled',
 }
 
@@ -97,10 +98,10 @@
 let nonce = 0;
 
 describe('a rollout', () => {
-  it('never lets a group step on two maps, and ends on the committed one', async () => {
-    // Two leaders overlap: one was frozen past its lease and goes on with old orders, while orders
-    // are lost, doubled and late, ranks restart, and the table loses answers. A step on two maps
-    // would send tokens to ranks that do not hold their experts, and the answers would be garbage.
+  it('never runs a step with two maps, and ends with the committed one', async () => {
+    // Two leaders overlap: one was frozen past its lease and continues with old orders. Orders are
+    // lost, duplicated and delayed, ranks restart, and the table loses answers. A step with two
+    // maps would send tokens to ranks that do not hold their experts, and corrupt the answers.
     await fc.assert(
       fc.asyncProperty(
         fc.scheduler(),
--- a/packages/placement/src/rollout.ts
+++ b/packages/placement/src/rollout.ts
@@ -1,8 +1,8 @@
 /**
- * Brings all ranks of a group onto one map, as the group's leader. Order: prepare at every
- * rank, commit by one transaction that fails if the lease is lost, pause every rank, switch
- * every rank, resume every rank. Before the commit anything may be aborted; after it whoever
- * leads goes forward.
+ * Switches all ranks of a group to a new map in two phases, as the group's leader: prepare every
+ * rank, commit in one transaction that fails if the lease is lost, pause every rank, switch every
+ * rank, resume every rank. Before the commit a rollout can be aborted; after it, whichever sidecar
+ * leads completes it.
  */
 import { ResultCode } from '@lapisbridge/errors';
 import type { Table, TableRow } from '@lapisbridge/platform';
@@ -12,6 +12,7 @@
 import type { HeldLease } from './lease.js';
 import { RankStep } from './plan-rank-order.js';
 
+/** Value of the map row: the committed map. */
 export interface MapRecord {
   readonly version: number;
   readonly map: ExpertMap;
@@ -36,33 +37,35 @@
   readonly table: Table;
   readonly environment: string;
   readonly group: string;
+  /** Number of ranks in the group. */
   readonly ranks: number;
-  /** Sends an order to one rank's sidecar; rejects when no answer came. */
+  /** Sends an order to one rank's sidecar; rejects when no answer arrives. */
   send(rank: number, order: RankOrderMessage): Promise<RankAnswer>;
   /** Renews the held lease; undefined once it is lost. */
   lease(): Promise<HeldLease | undefined>;
-  /** The commit has written the lease row too: its version is one higher. */
+  /** Called after a commit, which also writes the lease row and raises its version by one. */
   onCommitted(): void;
 }
 
 export enum RolloutOutcome {
   Done = 'done',
   Aborted = 'aborted',
-  /** Committed, and not every rank could be brought onto it yet: to be repeated. */
+  /** Committed, but not every rank has been switched yet: `reconcile` has to be called again. */
   Unfinished = 'unfinished',
   LeaseLost = 'leaseLost',
   StoreUnavailable = 'storeUnavailable',
 }
 
 export interface Rollout {
-  /** Rolls a new map out. */
+  /** Rolls out a new map. */
   rollOut(map: ExpertMap): Promise<RolloutOutcome>;
-  /** Brings every rank onto the committed map, whatever state an earlier leader left behind. */
+  /** Switches every rank to the committed map, whatever state an earlier leader left behind. */
   reconcile(): Promise<RolloutOutcome>;
+  /** The committed map; undefined when there is none or the table could not be read. */
   readCommitted(): Promise<MapRecord | undefined>;
 }
 
-/** Rollout numbers of one leader; those of the next begin above them. */
+/** Rollout numbers that each fencing number provides; those of the next leader start above them. */
 const ROLLOUTS_PER_LEASE = 1_000_000;
 
 export function mapKey(environment: string, group: string): string {
@@ -79,7 +82,7 @@
     return lease.fencingNumber * ROLLOUTS_PER_LEASE + sequence;
   }
 
-  /** Sends one order to every rank at once; true when all accepted it. */
+  /** Sends one order to all ranks concurrently; true when all of them accepted it. */
   async function sendToAll(order: RankOrderMessage): Promise<boolean> {
     const answers = await Promise.allSettled(
       Array.from({ length: ranks }, (_, rank) => options.send(rank, order)),
@@ -93,7 +96,9 @@
     return table.read(key).catch(() => undefined);
   }
 
-  /** The commit: the map and the lease in one transaction, so that a lost lease fails it. */
+  /**
+   * Writes the map and the lease in one transaction, so that the commit fails if the lease is lost.
+   */
   async function commit(
     lease: HeldLease,
     row: TableRow | null,
@@ -113,8 +118,8 @@
       options.onCommitted();
       return RolloutOutcome.Done;
     } catch {
-      // It may have taken effect. Going on either way could be wrong; the next reconciliation
-      // reads the row and brings everyone onto whatever stands there.
+      // The transaction may have been applied, so neither aborting nor completing the rollout is
+      // safe. The next `reconcile` reads the row and switches every rank to the map found there.
       return RolloutOutcome.StoreUnavailable;
     }
   }
--- a/packages/placement/src/smooth-load.ts
+++ b/packages/placement/src/smooth-load.ts
@@ -1,6 +1,7 @@
 /**
- * Smoothed token counts of the experts. A single window is noisy, and a load that alternates
- * would have a planner that believes it move experts back and forth for nothing.
+ * Exponential moving average of the token counts of experts. A single window is noisy, and a
+ * planner that followed an alternating load would move experts back and forth without a gain.
+ * `smoothing` is the weight of the new window, from 0 to 1.
  */
 export function smoothTokens(
   previous: readonly number[] | undefined,
