--- a/packages/admission/src/fair-queue.ts
+++ b/packages/admission/src/fair-queue.ts
@@ -1,7 +1,7 @@
 /**
- * A queue that is fair between client accounts: deficit round robin over estimated tokens.
- * A first-come queue would let one large account's burst delay everyone behind it; here
- * each account in turn gets tokens in proportion to its weight.
+ * A request queue that is fair between client accounts: deficit round robin over estimated tokens.
+ * A first-in, first-out queue would let a burst of one large account delay every account behind
+ * it. Here each account in turn is credited with tokens in proportion to its weight.
  */
 export interface QueuedRequest {
   readonly account: string;
@@ -10,14 +10,16 @@
 }
 
 interface AccountQueue<T> {
+  /** Tokens that the account has been credited with and has not spent yet. */
   deficit: number;
   weight: number;
-  readonly waiting: T[];
+  readonly requests: T[];
 }
 
 /**
- * Tokens an account of weight 1 gains at each turn. Small against a usual request: a turn that
- * is worth many requests lets a large account start them all before a small one's next.
+ * Tokens that an account of weight 1 is credited with in each round. It is small compared with a
+ * typical request: a quantum worth many requests would let a large account start all of them
+ * before the next request of a small account.
  */
 export const QUANTUM_TOKENS = 16;
 
@@ -25,31 +27,31 @@
   readonly size: number;
   readonly tokens: number;
   push(request: T): void;
-  /** The next request in fair order, of an account that may start one now. */
+  /** Removes and returns the next request in fair order among the accounts that may start one. */
   shift(mayStart?: (account: string) => boolean): T | undefined;
-  /** Whether any account that waits may start a request now. */
+  /** Whether any account with queued requests may start one now. */
   hasStartable(mayStart: (account: string) => boolean): boolean;
-  /** Takes one request out of turn, because it was cancelled or its time is up. */
+  /** Removes a request that was cancelled or timed out; false when it is not queued. */
   remove(request: T): boolean;
-  /** Tokens of one account that wait. */
+  /** Sum of the estimated tokens of an account's queued requests. */
   tokensOf(account: string): number;
 }
 
 export function createFairQueue<T extends QueuedRequest>(): FairQueue<T> {
   const queues = new Map<string, AccountQueue<T>>();
-  let turns: string[] = [];
+  let activeAccounts: string[] = [];
   let size = 0;
   let tokens = 0;
 
-  function forget(account: string): void {
+  function removeAccount(account: string): void {
     queues.delete(account);
-    turns = turns.filter((name) => name !== account);
+    activeAccounts = activeAccounts.filter((name) => name !== account);
   }
 
-  function taken(account: string, queue: AccountQueue<T>, request: T): T {
+  function recordRemoval(account: string, queue: AccountQueue<T>, request: T): T {
     size -= 1;
     tokens -= request.tokens;
-    if (queue.waiting.length === 0) forget(account);
+    if (queue.requests.length === 0) removeAccount(account);
     return request;
   }
 
@@ -63,47 +65,47 @@
     push(request) {
       let queue = queues.get(request.account);
       if (queue === undefined) {
-        queue = { deficit: 0, weight: request.weight, waiting: [] };
+        queue = { deficit: 0, weight: request.weight, requests: [] };
         queues.set(request.account, queue);
-        turns.push(request.account);
+        activeAccounts.push(request.account);
       }
       queue.weight = request.weight;
-      queue.waiting.push(request);
+      queue.requests.push(request);
       size += 1;
       tokens += request.tokens;
     },
     shift(mayStart = () => true) {
-      if (!turns.some(mayStart)) return undefined;
-      while (turns.length > 0) {
-        const [account = ''] = turns;
+      if (!activeAccounts.some(mayStart)) return undefined;
+      while (activeAccounts.length > 0) {
+        const [account = ''] = activeAccounts;
         if (!mayStart(account)) {
-          turns.push(...turns.splice(0, 1));
+          activeAccounts.push(...activeAccounts.splice(0, 1));
           continue;
         }
         const queue = queues.get(account) as AccountQueue<T>;
-        const head = queue.waiting[0];
+        const head = queue.requests[0];
         if (queue.deficit >= head.tokens) {
           queue.deficit -= head.tokens;
-          queue.waiting.shift();
-          return taken(account, queue, head);
+          queue.requests.shift();
+          return recordRemoval(account, queue, head);
         }
         queue.deficit += QUANTUM_TOKENS * queue.weight;
-        turns.push(turns.shift() as string);
+        activeAccounts.push(activeAccounts.shift() as string);
       }
       return undefined;
     },
-    hasStartable: (mayStart) => turns.some(mayStart),
+    hasStartable: (mayStart) => activeAccounts.some(mayStart),
     remove(request) {
       const queue = queues.get(request.account);
-      const index = queue?.waiting.indexOf(request) ?? -1;
+      const index = queue?.requests.indexOf(request) ?? -1;
       if (queue === undefined || index < 0) return false;
-      queue.waiting.splice(index, 1);
-      taken(request.account, queue, request);
+      queue.requests.splice(index, 1);
+      recordRemoval(request.account, queue, request);
       return true;
     },
     tokensOf(account) {
       let sum = 0;
-      for (const request of queues.get(account)?.waiting ?? []) sum += request.tokens;
+      for (const request of queues.get(account)?.requests ?? []) sum += request.tokens;
       return sum;
     },
   };
--- a/packages/admission/src/plan-admission.ts
+++ b/packages/admission/src/plan-admission.ts
@@ -1,5 +1,5 @@
 /**
- * Decides whether a request starts now, waits in the short queue, or is refused at once.
+ * Decides whether a request starts now, waits in the short queue, or is refused immediately. Pure.
  */
 export enum AdmissionKind {
   Start = 'start',
@@ -22,12 +22,12 @@
     };
 
 export interface AdmissionInput {
-  /** Whether a slot is free for the request's account. */
-  readonly slotFree: boolean;
+  /** Whether the request's account may take a slot now. */
+  readonly isSlotFree: boolean;
   readonly limit: number;
   readonly queued: number;
   readonly queuedTokens: number;
-  /** Tokens that run now and are not yet generated. */
+  /** Estimated tokens of all running requests. */
   readonly runningTokens: number;
   readonly stepMilliseconds: number;
   readonly requestTokens: number;
@@ -37,36 +37,42 @@
   readonly minimumRetryAfterMilliseconds: number;
 }
 
-/** Time until a slot is free for a request that joins the queue now. */
-export function expectedWait(input: AdmissionInput): number {
+/**
+ * Estimated milliseconds until a request that joins the queue now gets a slot. Running requests are
+ * taken to be half done on average.
+ */
+export function estimateWaitMilliseconds(input: AdmissionInput): number {
   const tokensAhead = input.queuedTokens + input.runningTokens / 2;
   return (tokensAhead * input.stepMilliseconds) / Math.max(1, input.limit);
 }
 
 /**
- * A request that cannot finish before its deadline would only take a slot from one that
- * can, so it is refused at once and told when the queue will have passed.
+ * Refuses a request that cannot finish before its deadline, since it would only take a slot from
+ * one that can. A refusal tells the caller after how many milliseconds to try again.
  */
 export function planAdmission(input: AdmissionInput): Admission {
-  const own = input.requestTokens * input.stepMilliseconds;
-  if (input.slotFree) {
-    if (own <= input.remainingMilliseconds) return { kind: AdmissionKind.Start };
+  const serviceMilliseconds = input.requestTokens * input.stepMilliseconds;
+  if (input.isSlotFree) {
+    if (serviceMilliseconds <= input.remainingMilliseconds) return { kind: AdmissionKind.Start };
     return refuse(RefusalReason.DeadlineTooShort, 0, input);
   }
-  const wait = expectedWait(input);
-  if (input.queued >= input.maximumQueued || wait > input.queueMilliseconds) {
-    return refuse(RefusalReason.QueueFull, wait, input);
+  const waitMilliseconds = estimateWaitMilliseconds(input);
+  if (input.queued >= input.maximumQueued || waitMilliseconds > input.queueMilliseconds) {
+    return refuse(RefusalReason.QueueFull, waitMilliseconds, input);
   }
-  if (wait + own > input.remainingMilliseconds) {
-    return refuse(RefusalReason.DeadlineTooShort, wait, input);
+  if (waitMilliseconds + serviceMilliseconds > input.remainingMilliseconds) {
+    return refuse(RefusalReason.DeadlineTooShort, waitMilliseconds, input);
   }
-  return { kind: AdmissionKind.Queue, expectedWaitMilliseconds: wait };
+  return { kind: AdmissionKind.Queue, expectedWaitMilliseconds: waitMilliseconds };
 }
 
-function refuse(reason: RefusalReason, wait: number, input: AdmissionInput): Admission {
+function refuse(reason: RefusalReason, waitMilliseconds: number, input: AdmissionInput): Admission {
   return {
     kind: AdmissionKind.Refuse,
     reason,
-    retryAfterMilliseconds: Math.max(input.minimumRetryAfterMilliseconds, Math.ceil(wait)),
+    retryAfterMilliseconds: Math.max(
+      input.minimumRetryAfterMilliseconds,
+      Math.ceil(waitMilliseconds),
+    ),
   };
 }
--- a/packages/forwarding/src/choose-server.ts
+++ b/packages/forwarding/src/choose-server.ts
@@ -2,7 +2,7 @@
  * Selects the backend server for the next attempt and logs the decision.
  */
 import type { BackendServer } from '@lapisbridge/catalog';
-import { planServer, ServerChoiceKind } from '@lapisbridge/routing';
+import { planServerChoice, ServerChoiceKind } from '@lapisbridge/routing';
 import type { ServerChoice, ServerView } from '@lapisbridge/routing';
 
 import { computeRemainingMilliseconds } from './forward-context.js';
@@ -40,7 +40,10 @@
       context.ledger.view(
         server,
         {
-          roomInMilliseconds: Math.max(coldCapacityInMilliseconds, admission.roomInMilliseconds),
+          limitedForMilliseconds: Math.max(
+            coldCapacityInMilliseconds,
+            admission.roomInMilliseconds,
+          ),
           backoffMilliseconds: admission.backoffMilliseconds,
           brokenForMilliseconds: context.groupHealth.brokenForMilliseconds(server),
           isSilent: context.liveness.isSilent(server),
@@ -60,7 +63,7 @@
 ): number {
   let totalReportAge = 0;
   let reportCount = 0;
-  for (const { reportAge } of views) {
+  for (const { reportAgeMilliseconds: reportAge } of views) {
     if (reportAge === undefined) continue;
     totalReportAge += reportAge;
     reportCount += 1;
@@ -83,14 +86,14 @@
 ): ChosenServer {
   const { views, serversById, leaving } = collectCandidates(context, accepted);
   const engine = accepted.configuration.services.get(accepted.service)?.engine;
-  const choice = planServer({
+  const choice = planServerChoice({
     views,
     ownZone: context.ownZone,
     excluded: progress.tried,
-    readTokensPerMillisecond:
+    prefillTokensPerMillisecond:
       engine === undefined ? READ_SPEED_WITHOUT_MODEL : engine.readTokensPerSecond / 1000,
-    unseenArrivals: estimateUnseenArrivals(context, accepted.service, views),
-    fits,
+    unreportedArrivals: estimateUnseenArrivals(context, accepted.service, views),
+    canServeInTime: fits,
     random: context.random,
   });
   const chosen = choice.kind === ServerChoiceKind.Chosen;
@@ -109,9 +112,9 @@
       outstanding: chosen ? choice.view.outstanding : undefined,
       slots: chosen ? choice.view.slots : undefined,
       remaining: chosen ? computeRemainingMilliseconds(context, accepted) : undefined,
-      reportAge: chosen ? roundedOrNone(choice.view.reportAge) : undefined,
+      reportAge: chosen ? roundedOrNone(choice.view.reportAgeMilliseconds) : undefined,
       silence: roundedOrNone(silence),
-      suspicion: chosen ? Number(choice.view.suspicion.toFixed(2)) : undefined,
+      suspicion: chosen ? Number(choice.view.decayedFailures.toFixed(2)) : undefined,
       rateLimit: chosen ? context.statements.rateLimitOf(choice.view.instanceId) : undefined,
       backoff:
         choice.kind === ServerChoiceKind.AllBackingOff
--- a/packages/forwarding/src/serve-plain.ts
+++ b/packages/forwarding/src/serve-plain.ts
@@ -108,7 +108,10 @@
   function delayOrRefuse(choice: ServerChoice): StartResult {
     switch (choice.kind) {
       case ServerChoiceKind.AllLimited: {
-        const wait = decideWait(choice.roomInMilliseconds, 'limit share used up at every server');
+        const wait = decideWait(
+          choice.limitedForMilliseconds,
+          'limit share used up at every server',
+        );
         if (wait > 0) return { kind: StartKind.Delayed, waitMilliseconds: wait };
         return cannotStart(RefusalCause.Full);
       }
--- a/packages/forwarding/src/serve-stream.ts
+++ b/packages/forwarding/src/serve-stream.ts
@@ -100,9 +100,9 @@
   /** Whether the server can begin the stream in time for its caller. */
   function canStartInTime({
     slots,
-    expected,
-    reportAge,
-    typicalMilliseconds,
+    expectedOutstanding: expected,
+    reportAgeMilliseconds: reportAge,
+    typicalResponseMilliseconds: typicalMilliseconds,
   }: ServerView): boolean {
     return canAdmitStream({
       route,
--- a/packages/forwarding/src/server-load-tracker.test.ts
+++ b/packages/forwarding/src/server-load-tracker.test.ts
@@ -18,7 +18,7 @@
 it('suspects a server after a failure, less after a healthy answer, and no less after a cancelled one', () => {
   const ledger = createServerLoadTracker(() => 0);
   const limits = {
-    roomInMilliseconds: 0,
+    limitedForMilliseconds: 0,
     backoffMilliseconds: 0,
     brokenForMilliseconds: undefined,
     isSilent: false,
@@ -26,7 +26,7 @@
   const suspicionAfter = (verdict: Verdict): number => {
     ledger.recordSent(SERVER.instanceId, 0);
     ledger.recordEnd(SERVER.instanceId, verdict, 0, false);
-    return ledger.view(SERVER, limits, 1).suspicion;
+    return ledger.view(SERVER, limits, 1).decayedFailures;
   };
   const doubt = suspicionAfter(Verdict.Failing);
   expect(doubt).toBeGreaterThan(0);
--- a/packages/forwarding/src/server-load-tracker.ts
+++ b/packages/forwarding/src/server-load-tracker.ts
@@ -49,7 +49,7 @@
     server: BackendServer,
     limits: Pick<
       ServerView,
-      'roomInMilliseconds' | 'backoffMilliseconds' | 'brokenForMilliseconds' | 'isSilent'
+      'limitedForMilliseconds' | 'backoffMilliseconds' | 'brokenForMilliseconds' | 'isSilent'
     >,
     senders: number,
   ): ServerView;
@@ -195,11 +195,11 @@
         availabilityZone: server.availabilityZone,
         slots: server.slots,
         outstanding: outstanding(record),
-        expected: expected(record, senders),
-        unreadTokens: record.unreadTokens,
-        typicalMilliseconds: record.typicalMilliseconds,
-        reportAge: reportAge(record),
-        suspicion: decayedSuspicion(record),
+        expectedOutstanding: expected(record, senders),
+        pendingPrefillTokens: record.unreadTokens,
+        typicalResponseMilliseconds: record.typicalMilliseconds,
+        reportAgeMilliseconds: reportAge(record),
+        decayedFailures: decayedSuspicion(record),
         ...limits,
       };
     },
--- a/packages/forwarding/src/stream-delay.ts
+++ b/packages/forwarding/src/stream-delay.ts
@@ -54,7 +54,7 @@
     case ServerChoiceKind.AllCrowded:
       return { kind: DelayKind.Crowded };
     case ServerChoiceKind.AllLimited:
-      return { kind: DelayKind.Limited, roomInMilliseconds: choice.roomInMilliseconds };
+      return { kind: DelayKind.Limited, roomInMilliseconds: choice.limitedForMilliseconds };
     case ServerChoiceKind.AllBackingOff:
       return { kind: DelayKind.BackingOff, roomInMilliseconds: choice.backoffMilliseconds };
     case ServerChoiceKind.Chosen:
--- a/packages/placement/src/plan-hold-orders.test.ts
+++ b/packages/placement/src/plan-hold-orders.test.ts
@@ -3,7 +3,7 @@
 import { initialMap } from './expert-map.js';
 import { planGroupMap } from './plan-group-map.js';
 import { planHoldRollout } from './plan-hold-rollout.js';
-import { initialRollout, RolloutPhase } from './rollout-state.js';
+import { initialRolloutState, RolloutPhase } from './rollout-state.js';
 import type { RolloutInput, RolloutPlan, RolloutState } from './rollout-state.js';
 import { RankOrderKind } from './rank-report.js';
 import type { RankReport } from './rank-report.js';
@@ -38,14 +38,14 @@
   input: Partial<RolloutInput> = {},
 ): RolloutPlan {
   return planHoldRollout({
-    state: { ...initialRollout(1), ...state },
+    state: { ...initialRolloutState(1), ...state },
     reports,
     ownRank: 0,
     formerRank: undefined,
     passMilliseconds: 40,
-    roundMilliseconds: 10,
-    orderRounds: 1,
-    voiding: VOIDING,
+    reportRoundMilliseconds: 10,
+    expectedOrderAttempts: 1,
+    voidingTarget: VOIDING,
     ...input,
   });
 }
@@ -56,8 +56,8 @@
 
 describe('orders of a rollout', () => {
   it('hold a pass that the group does not reach before all ranks are armed', () => {
-    // Held two passes ahead, a group with short passes stood still until the last rank was armed,
-    // and every open stream paused for longer than its readers bear.
+    // With a hold two passes ahead, a group with short passes waited until the last rank was armed,
+    // and every open stream paused for longer than its readers accept.
     for (const passMilliseconds of [30, 45, 90]) {
       const [first] = plan(prepared, settled, { passMilliseconds }).orders;
       const step = first?.order.kind === RankOrderKind.Hold ? first.order.step : 0;
@@ -65,11 +65,12 @@
     }
   });
 
-  it('hold further ahead where orders are left unanswered', () => {
-    // Ranks leave a tenth of their orders unanswered, and some have to be armed a second and a third
-    // time. Until the last of them is, a hold that was reached makes every open stream pause.
-    const stepOf = (orderRounds: number): number => {
-      const input = { passMilliseconds: 60, roundMilliseconds: 60, orderRounds };
+  it('hold a later pass when orders are left unanswered', () => {
+    // Ranks leave a tenth of their orders unanswered, and some have to be told to arm a second or
+    // third time. If the group reaches the hold before the last one is armed, every open stream
+    // pauses.
+    const stepOf = (expectedOrderAttempts: number): number => {
+      const input = { passMilliseconds: 60, reportRoundMilliseconds: 60, expectedOrderAttempts };
       const [first] = plan(prepared, settled, input).orders;
       return first?.order.kind === RankOrderKind.Hold ? first.order.step : 0;
     };
@@ -77,8 +78,8 @@
   });
 
   it('hold at another rank than the leader’s own', () => {
-    // A leader that freezes takes the rank on its machine out of reach; a hold there would keep
-    // the group until it wakes.
+    // When a leader freezes, the rank on its machine cannot be reached, and a hold there would stop
+    // the group until the machine resumes.
     expect(plan(prepared, settled).orders[0]?.rank).not.toBe(0);
   });
 
@@ -88,29 +89,29 @@
     expect(plan(held, state).orders.map(({ rank }) => rank)).toEqual([1]);
     const arm = (one: RankReport): RankReport => ({ ...one, armed: { version: 7, step: 105 } });
     const guarded = held.map((one) => (one.rank === 1 ? arm(one) : one));
-    const armsSent = { ...state, armsSent: true };
-    expect(plan(guarded, armsSent).orders.map(({ rank }) => rank)).toEqual([2, 3]);
+    const armingState = { ...state, armsSentUnderHold: true };
+    expect(plan(guarded, armingState).orders.map(({ rank }) => rank)).toEqual([2, 3]);
     const armed = held.map((one) => (one.rank === 0 ? one : arm(one)));
-    expect(plan(armed, armsSent).orders.map(({ rank }) => rank)).toEqual([0]);
+    expect(plan(armed, armingState).orders.map(({ rank }) => rank)).toEqual([0]);
   });
 
-  it('clear a hold whose leader is out of sight, by voiding and then releasing', () => {
-    // The leader froze with its machine just after it held the group: rank 3 does not answer.
+  it('void and then release a hold whose leader is unreachable', () => {
+    // The leader's machine froze just after it held the group: rank 3 does not answer.
     const seen = prepared.map((one) => {
       if (one.rank === 3) return undefined;
       return one.rank === 1 ? { ...one, heldStep: 105 } : one;
     });
-    const voiding = plan(seen, {}, { formerRank: 3, voiding: { version: 9, map: MAP } });
+    const voiding = plan(seen, {}, { formerRank: 3, voidingTarget: { version: 9, map: MAP } });
     expect(voiding.phase).toBe(RolloutPhase.Clearing);
     expect(voiding.orders.every(({ order }) => order.kind === RankOrderKind.Prepare)).toBe(true);
     const voided = seen.map((one) => (one === undefined ? one : { ...one, preparedVersion: 9 }));
-    const released = plan(voided, {}, { formerRank: 3, voiding: { version: 9, map: MAP } });
+    const released = plan(voided, {}, { formerRank: 3, voidingTarget: { version: 9, map: MAP } });
     expect(released.orders).toEqual([
       { rank: 1, order: { kind: RankOrderKind.Release, epoch: 1, step: 105 } },
     ]);
   });
 
-  it('leave a hold alone while a rank that may be armed is out of sight', () => {
+  it('keep a hold while the report of a rank that may be armed is missing', () => {
     const seen = prepared.map((one) => {
       if (one.rank === 3) return undefined;
       return one.rank === 1 ? { ...one, heldStep: 105 } : one;
@@ -118,21 +119,21 @@
     expect(plan(seen, {}, { formerRank: 2 }).orders).toEqual([]);
   });
 
-  it('release a hold of its own when ranks fall out of sight before any was armed', () => {
+  it('release the leader’s own hold when reports are missing before any rank was armed', () => {
     const seen = prepared.map((one) => (one.rank === 3 ? undefined : one));
     const { orders, state } = plan(seen, { ...settled, heldStep: 105 });
     expect(orders.map(({ order }) => order.kind)).toEqual([RankOrderKind.Release]);
-    expect(state.spentSteps.has(105)).toBe(true);
+    expect(state.abandonedSteps.has(105)).toBe(true);
   });
 });
 
 describe('maps of a whole group', () => {
-  it('take the load off a hot expert with one load a rank and set', async () => {
+  it('relieve a hot expert by loading at most one expert per rank and set', async () => {
     const tokens = [100, 1, 1, 1, 1, 1, 1, 1];
     const load = { tokens, speeds: [1, 1, 1, 1] };
     const policy = { placesPerRank: 3, newPerRank: 1, minimumGain: 0.1 };
     const decision = await planGroupMap(MAP, [load], policy, async () => undefined);
-    expect(decision.isWorthIt).toBe(true);
+    expect(decision.isWorthwhile).toBe(true);
     expect(decision.skewBefore).toBeGreaterThan(3);
     expect(decision.skewAfter).toBeLessThan(1.1);
     for (const [rank, held] of decision.map.sets[0]?.experts.entries() ?? []) {
@@ -142,10 +143,10 @@
     }
   });
 
-  it('are left alone when the load is even', async () => {
+  it('stay in force when the load is even', async () => {
     const load = { tokens: new Array(8).fill(10), speeds: [1, 1, 1, 1] };
     const policy = { placesPerRank: 3, newPerRank: 1, minimumGain: 0.1 };
     const decision = await planGroupMap(MAP, [load], policy, async () => undefined);
-    expect(decision).toMatchObject({ isWorthIt: false, moves: 0 });
+    expect(decision).toMatchObject({ isWorthwhile: false, moves: 0 });
   });
 });
--- a/packages/placement/src/plan-hold-rollout.test.ts
+++ b/packages/placement/src/plan-hold-rollout.test.ts
@@ -14,79 +14,80 @@
 
 type Mutate = NonNullable<Parameters<typeof runGroupModel>[0]['mutate']>;
 
-function run(seed: number, mutate?: Mutate, readsApart = false): ModelResult {
+function run(seed: number, mutate?: Mutate, readsReportsSequentially = false): ModelResult {
   return runGroupModel({
     seed,
     ranks: RANKS,
     ticks: TICKS,
-    readsApart,
+    readsReportsSequentially,
     ...(mutate === undefined ? {} : { mutate }),
   });
 }
 
-/** How many of some seeds end in a pass with two maps. */
-function countMixed(mutate: Mutate): number {
+/** Number of seeds that lead to a pass with two maps. */
+function countMixedRuns(mutate: Mutate): number {
   let mixed = 0;
   for (let seed = 1; seed <= RUNS; seed += 1) {
-    if (run(seed, mutate).mixedAt !== undefined) mixed += 1;
+    if (run(seed, mutate).mixedMapsAt !== undefined) mixed += 1;
   }
   return mixed;
 }
 
-describe('bringing a map into force in one pass', () => {
-  it('never lets a pass begin with two maps, whatever becomes of the orders', () => {
-    // Orders are lost, doubled or carried out long after they were given up, leaders end in the
-    // middle of their orders, ranks fall out of sight and groups form anew. Two maps in one pass
-    // send tokens to ranks that do not hold their expert: callers would get wrong text.
+describe('switching a group to a new map', () => {
+  it('never starts a pass with two maps when orders are lost, duplicated or delayed', () => {
+    // Orders are lost, duplicated or carried out long after the leader gave up on them, leaders
+    // stop in the middle of their orders, ranks become unreachable and groups re-form. A pass with
+    // two maps sends tokens to ranks that do not hold their expert, and callers would get wrong
+    // text.
     fc.assert(
       fc.property(fc.integer({ min: 1, max: 2 ** 31 - 1 }), (seed) => {
-        expect(run(seed).mixedAt).toBeUndefined();
+        expect(run(seed).mixedMapsAt).toBeUndefined();
       }),
       { numRuns: RUNS, seed: 20 },
     );
   });
 
   it.each([970712535, 757228339, 116483])('keeps one map with seed %i', (seed) => {
-    // Three leaders in a row, an order to disarm that came late, a rank out of sight: each of
-    // these seeds once let a pass begin with two maps.
-    expect(run(seed).mixedAt).toBeUndefined();
+    // Each of these seeds once led to a pass with two maps: three leaders in succession, an order
+    // to disarm that arrived late, a rank whose report was missing.
+    expect(run(seed).mixedMapsAt).toBeUndefined();
   });
 
-  it('never does so either where holds are planned further ahead for orders that get lost', () => {
-    // Between the hold and its pass more passes run, and more leaders end in them.
+  it('never starts a pass with two maps when holds are planned further ahead', () => {
+    // More passes run between the order to hold and the held pass, and more leaders stop meanwhile.
     for (let seed = 1; seed <= RUNS; seed += 1) {
-      const options = { seed, ranks: RANKS, ticks: TICKS, orderRounds: 1 + (seed % 5) };
-      expect(runGroupModel(options).mixedAt, `seed ${seed}`).toBeUndefined();
+      const options = { seed, ranks: RANKS, ticks: TICKS, expectedOrderAttempts: 1 + (seed % 5) };
+      expect(runGroupModel(options).mixedMapsAt, `seed ${seed}`).toBeUndefined();
     }
   });
 
-  it('never does so either where reports of one look are read one after the other', () => {
-    // A leader of many ranks reads their reports over some tenths of a second. Passes begin and
-    // late orders are carried out in between, so that no two reports need be of one moment.
+  it('never starts a pass with two maps when reports are read one after the other', () => {
+    // A leader of many ranks reads their reports over some tenths of a second. Passes start and
+    // late orders are carried out in between, so that no two reports need to show the same moment.
     for (let seed = 1; seed <= RUNS; seed += 1) {
       const result = run(seed, undefined, true);
-      expect(result.mixedAt, `seed ${seed}`).toBeUndefined();
-      expect(result.calmPasses, `seed ${seed}`).toBeGreaterThan(TICKS / 4);
+      expect(result.mixedMapsAt, `seed ${seed}`).toBeUndefined();
+      expect(result.faultFreePasses, `seed ${seed}`).toBeGreaterThan(TICKS / 4);
     }
   });
 
   it('leaves no group held once faults end', () => {
-    // A leader ends while it holds the group, or a hold arrives after it was given up. Nobody
-    // else would release it, and every caller of the group would wait for ever.
+    // A leader stops while it holds the group, or a hold takes effect after the leader gave up on
+    // it. If nothing else released it, every caller of the group would wait forever.
     for (let seed = 1; seed <= RUNS; seed += 1) {
-      expect(run(seed).calmPasses, `seed ${seed}`).toBeGreaterThan(TICKS / 4);
+      expect(run(seed).faultFreePasses, `seed ${seed}`).toBeGreaterThan(TICKS / 4);
     }
   });
 
-  it('does bring maps into force', () => {
+  it('brings maps into force', () => {
     let rollouts = 0;
     for (let seed = 1; seed <= 100; seed += 1) rollouts += run(seed).rollouts;
     expect(rollouts).toBeGreaterThan(500);
   });
 
   it('mixes maps when the group is released before all ranks are seen armed', () => {
-    // An order to arm that got no answer counts as done, and the group goes on without it.
-    const mixed = countMixed((plan, reports) => {
+    // An unanswered order to arm is treated as carried out, and the group continues without it.
+    const mixed = countMixedRuns((plan, reports) => {
       if (!plan.orders.some(({ order }) => order.kind === RankOrderKind.Arm)) return plan;
       const releases = reports.flatMap((report) =>
         report?.heldStep === undefined
@@ -108,8 +109,8 @@
   });
 
   it('mixes maps when a successor releases a hold without making earlier orders void', () => {
-    // The leader before it had sent orders to arm that arrive only now.
-    const mixed = countMixed((plan, reports) => {
+    // Orders to arm that the previous leader sent arrive only after the release.
+    const mixed = countMixedRuns((plan, reports) => {
       const isVoiding = plan.orders.some(
         ({ order }) => order.kind === RankOrderKind.Prepare && plan.state.target === undefined,
       );
@@ -130,42 +131,42 @@
 
   const endAtOnce: EndHold = (report) => planHoldEnd(report, Infinity);
 
-  function runEnding(seed: number, endHold: EndHold, mutate?: Mutate): ModelResult {
+  function runEndingHolds(seed: number, endHold: EndHold, mutate?: Mutate): ModelResult {
     return runGroupModel({
       seed,
       ranks: 2 + (seed % 3),
       ticks: TICKS,
-      readsApart: true,
-      actsOnAnswers: seed % 2 === 0,
-      orderRounds: 1 + (seed % 5),
+      readsReportsSequentially: true,
+      armsWithoutRereading: seed % 2 === 0,
+      expectedOrderAttempts: 1 + (seed % 5),
       endHold,
       ...(mutate === undefined ? {} : { mutate }),
     });
   }
 
-  function countMixedEnding(endHold: EndHold, mutate?: Mutate): number {
+  function countMixedRunsEndingHolds(endHold: EndHold, mutate?: Mutate): number {
     let mixed = 0;
     for (let seed = 1; seed <= RUNS; seed += 1) {
-      if (runEnding(seed, endHold, mutate).mixedAt !== undefined) mixed += 1;
+      if (runEndingHolds(seed, endHold, mutate).mixedMapsAt !== undefined) mixed += 1;
     }
     return mixed;
   }
 
-  it('never lets a pass begin with two maps', () => {
-    // The rank does not know its leader’s orders: they may be on their way, late or doubled, and so
+  it('never leads to a pass with two maps', () => {
+    // The rank does not know its leader’s orders: they may be in flight, late or duplicated, and so
     // may its own.
     let ended = 0;
     for (let seed = 1; seed <= RUNS; seed += 1) {
-      const result = runEnding(seed, endAtOnce);
-      expect(result.mixedAt, `seed ${seed}`).toBeUndefined();
-      expect(result.calmPasses, `seed ${seed}`).toBeGreaterThan(TICKS / 4);
+      const result = runEndingHolds(seed, endAtOnce);
+      expect(result.mixedMapsAt, `seed ${seed}`).toBeUndefined();
+      expect(result.faultFreePasses, `seed ${seed}`).toBeGreaterThan(TICKS / 4);
       ended += result.endedHolds;
     }
     expect(ended).toBeGreaterThan(RUNS);
   });
 
   it('mixes maps when leaders arm other ranks before that one', () => {
-    const mixed = countMixedEnding(endAtOnce, (plan, reports) => {
+    const mixed = countMixedRunsEndingHolds(endAtOnce, (plan, reports) => {
       const arm = plan.orders.find(({ order }) => order.kind === RankOrderKind.Arm);
       if (arm === undefined) return plan;
       const orders = reports.flatMap((report) =>
@@ -179,7 +180,7 @@
   });
 
   it('mixes maps when the rank releases before its prepared map is void', () => {
-    const mixed = countMixedEnding((report) => {
+    const mixed = countMixedRunsEndingHolds((report) => {
       const end = planHoldEnd(report, Infinity);
       if (end.kind !== HoldEndKind.Void || report.heldStep === undefined) return end;
       return { kind: HoldEndKind.Release, step: report.heldStep };
--- a/packages/placement/src/plan-hold-rollout.ts
+++ b/packages/placement/src/plan-hold-rollout.ts
@@ -1,87 +1,99 @@
 /**
- * Decides the next orders that bring a group onto one new map in one and the same pass. Pure:
- * fresh reports of all ranks and what this leader has done go in, orders come out.
+ * Decides the next orders that switch all ranks of a group to a new map in the same pass. Pure:
+ * fresh reports of all ranks and the state of this leader go in, orders come out.
  *
- * Any order may be lost, or carried out seconds after it was given up. So nothing rests on
- * order or time, only on what reports show:
+ * Any order may be lost, or carried out seconds after the leader has given up on it. So decisions
+ * do not depend on the sequence of orders or on time, only on what reports show:
  *
- * - a rank is armed only while a hold is seen to keep the group from beginning that pass, and
- *   only after the same version was seen prepared at every rank;
- * - a hold is released only when every rank is seen armed with one version for its pass, or
- *   when no rank can be armed any more: no rank was ever sent that order, or a newer version
- *   was prepared at every rank since, which makes every earlier order to arm void;
- * - after a release that armed nothing, that pass is never used again;
- * - a rank that holds the pass is armed before all others and disarmed after them: until it is
- *   armed it may end the hold by itself (`planHoldEnd`).
+ * - A rank is armed only while a hold is seen to keep the group from starting that pass, and only
+ *   after the same version was seen prepared at every rank.
+ * - A hold is released only when every rank is seen armed with one version for its pass, or when no
+ *   rank can be armed any more: no rank was ever sent that order, or a newer version has been
+ *   prepared at every rank since, which voids every earlier order to arm.
+ * - After a release with nothing armed, that pass is never used again.
+ * - A rank that holds the pass is armed before all others and disarmed after them, because it may
+ *   end the hold by itself until it is armed (`planHoldEnd`).
  *
- * A leader that takes over finds holds it knows nothing of. It finishes what was armed, since
- * its predecessor armed only what all had prepared; what it cannot tell it makes void.
+ * A leader that takes over may find holds it knows nothing of. It completes what was armed, since
+ * its predecessor armed only what every rank had prepared, and voids what it cannot determine.
  *
- * The leader may freeze with its whole machine, rank and all, while a hold stands, and every
- * caller would wait for it. So holds stand at another rank, and a leader arms its own rank last:
- * as long as another rank is not armed, the frozen one is not either, and its successor can
- * clear the hold without it.
+ * The leader may freeze together with the rank on its machine while the group is held, and every
+ * caller would wait for it. So the group is held at another rank, and a leader arms its own rank
+ * last: as long as another rank is not armed, the frozen one is not armed either, and the next
+ * leader can clear the hold without it.
  */
-import { planClearing, planWithoutFormer } from './plan-clearing.js';
+import { planClearing, planWithoutFormerLeader } from './plan-clearing.js';
 import { RankOrderKind } from './rank-report.js';
 import type { RankOrder, RankReport } from './rank-report.js';
 import {
-  holderOf,
-  initialRollout,
+  holdingRankOf,
+  initialRolloutState,
   isArmedFor,
   lowestHeldStep,
-  planArms,
-  release,
+  planArmOrders,
+  releaseOrders,
   RolloutPhase,
-  toAll,
+  selectOrders,
 } from './rollout-state.js';
 import type { RolloutInput, RolloutPlan, RolloutTarget } from './rollout-state.js';
 
 /**
- * Shortest time from the order to hold until the release arrives, in milliseconds: three rounds
- * of reports and orders of about 30 ms each, and slack. The group must not reach the held pass
- * sooner, or all its streams pause.
+ * Shortest time from the order to hold until the release arrives: three rounds of reports and
+ * orders of about 30 ms each, and slack. If the group reaches the held pass sooner, all its streams
+ * pause.
  */
-const SHORTEST_ROLLOUT_MILLISECONDS = 160;
-/** Rounds of reports or of orders from the hold to the release; orders take about as long. */
-const ROUNDS = 4;
-/** An order that got no answer takes a look and another round of orders. */
-const ROUNDS_PER_REPEAT = 2;
+const MINIMUM_ROLLOUT_MILLISECONDS = 160;
+/** Rounds of reports or orders from the hold to the release; both take about as long. */
+const ROUNDS_PER_ROLLOUT = 4;
+/** An order without an answer takes another round of reports and another round of orders. */
+const ROUNDS_PER_RETRY = 2;
 const SLACK_MILLISECONDS = 20;
-const FEWEST_STEPS_AHEAD = 2;
-/** Further ahead the old map would stay in force for long. */
-const MOST_STEPS_AHEAD = 12;
+const MINIMUM_STEPS_AHEAD = 2;
+/** With more steps the old map would stay in force too long. */
+const MAXIMUM_STEPS_AHEAD = 12;
 
-/** The pass that runs when a report is read is half over on average. */
+/** On average, half of the running pass is over when a report is read. */
 const RUNNING_PASS_SHARE = 0.5;
 
 /**
- * Passes between the one that runs and the one that is held. One more than needed costs a whole
- * pass with the old map; one too few, and all streams of the group pause.
+ * Number of passes from the running one to the one to hold. One too many costs a whole pass with
+ * the old map; with one too few, all streams of the group pause.
  */
-function stepsAhead({ passMilliseconds, roundMilliseconds, orderRounds }: RolloutInput): number {
-  const repeats = (orderRounds - 1) * ROUNDS_PER_REPEAT * roundMilliseconds;
-  const rollout =
-    Math.max(SHORTEST_ROLLOUT_MILLISECONDS, ROUNDS * roundMilliseconds + SLACK_MILLISECONDS) +
-    repeats;
-  const needed = Math.ceil(rollout / Math.max(1, passMilliseconds) + RUNNING_PASS_SHARE);
-  return Math.min(MOST_STEPS_AHEAD, Math.max(FEWEST_STEPS_AHEAD, needed));
+function stepsAhead({
+  passMilliseconds,
+  reportRoundMilliseconds,
+  expectedOrderAttempts,
+}: RolloutInput): number {
+  const retryMilliseconds =
+    (expectedOrderAttempts - 1) * ROUNDS_PER_RETRY * reportRoundMilliseconds;
+  const rolloutMilliseconds =
+    Math.max(
+      MINIMUM_ROLLOUT_MILLISECONDS,
+      ROUNDS_PER_ROLLOUT * reportRoundMilliseconds + SLACK_MILLISECONDS,
+    ) + retryMilliseconds;
+  const neededSteps = Math.ceil(
+    rolloutMilliseconds / Math.max(1, passMilliseconds) + RUNNING_PASS_SHARE,
+  );
+  return Math.min(MAXIMUM_STEPS_AHEAD, Math.max(MINIMUM_STEPS_AHEAD, neededSteps));
 }
 
-interface View {
+interface GroupView {
   readonly reports: readonly RankReport[];
-  /** Every rank is in the view; otherwise only the former leader's is missing. */
-  readonly isWhole: boolean;
+  /** Whether every rank has reported; otherwise only the former leader's rank is missing. */
+  readonly isComplete: boolean;
 }
 
-/** Reports of one epoch: of all ranks, or of all but the former leader's. */
-function viewOf(input: RolloutInput): View | undefined {
+/**
+ * The ranks' reports; undefined when the group is broken, the reports are of different epochs, or
+ * any is missing other than that of the former leader's rank.
+ */
+function groupViewOf(input: RolloutInput): GroupView | undefined {
   const seen: RankReport[] = [];
-  let isWhole = true;
+  let isComplete = true;
   for (const [rank, report] of input.reports.entries()) {
     if (report === undefined) {
       if (rank !== input.formerRank || rank === input.ownRank) return undefined;
-      isWhole = false;
+      isComplete = false;
       continue;
     }
     const first = seen[0] ?? report;
@@ -90,11 +102,11 @@
   }
   const size = seen[0]?.size;
   return size !== undefined && input.reports.length === size
-    ? { reports: seen, isWhole }
+    ? { reports: seen, isComplete }
     : undefined;
 }
 
-/** Under this leader's own hold: arm every rank, then let the group go on. */
+/** Under this leader's own hold: arms every rank, then releases the hold. */
 function planArming(
   input: RolloutInput,
   reports: readonly RankReport[],
@@ -105,23 +117,24 @@
   const { epoch } = state;
   const { version } = target;
   if (reports.every((report) => isArmedFor(report, version, step))) {
-    return { phase: RolloutPhase.Releasing, orders: release(reports, step, epoch), state };
+    return { phase: RolloutPhase.Releasing, orders: releaseOrders(reports, step, epoch), state };
   }
   const canArm = reports.every(
     (report) => isArmedFor(report, version, step) || report.preparedVersion === version,
   );
   if (!canArm) {
-    if (state.armsSent) return planClearing(input, reports, step);
-    const spentSteps = new Set([...state.spentSteps, step]);
-    const abandoned = { ...state, target: undefined, heldStep: undefined, spentSteps };
-    const orders = release(reports, step, epoch);
-    return { phase: RolloutPhase.Clearing, orders, state: abandoned };
+    if (state.armsSentUnderHold) return planClearing(input, reports, step);
+    const abandonedSteps = new Set([...state.abandonedSteps, step]);
+    const abandonedState = { ...state, target: undefined, heldStep: undefined, abandonedSteps };
+    const orders = releaseOrders(reports, step, epoch);
+    return { phase: RolloutPhase.Clearing, orders, state: abandonedState };
   }
-  const orders = planArms(input, reports, version, step);
-  const armingState = { ...state, armsSent: true, mayHaveArmed: true };
+  const orders = planArmOrders(input, reports, version, step);
+  const armingState = { ...state, armsSentUnderHold: true, armsSentSinceSettled: true };
   return { phase: RolloutPhase.Arming, orders, state: armingState };
 }
 
+/** Prepares the target at every rank, then holds a later pass. */
 function planPreparing(
   input: RolloutInput,
   reports: readonly RankReport[],
@@ -130,7 +143,7 @@
   const { state } = input;
   const { epoch } = state;
   const { version, map } = target;
-  const unprepared = toAll(reports, (report) =>
+  const unprepared = selectOrders(reports, (report) =>
     report.preparedVersion === version
       ? undefined
       : { kind: RankOrderKind.Prepare, epoch, version, map },
@@ -139,66 +152,69 @@
   const ahead = stepsAhead(input);
   let step = ahead;
   for (const report of reports) step = Math.max(step, report.step + ahead);
-  while (state.spentSteps.has(step)) step += 1;
+  while (state.abandonedSteps.has(step)) step += 1;
   const order: RankOrder = { kind: RankOrderKind.Hold, epoch, step };
   return {
     phase: RolloutPhase.Holding,
-    orders: [{ rank: holderOf(input), order }],
-    state: { ...state, heldStep: step, armsSent: false },
+    orders: [{ rank: holdingRankOf(input), order }],
+    state: { ...state, heldStep: step, armsSentUnderHold: false },
   };
 }
 
-/** Ranks are out of sight: a hold under which nothing was armed must not keep the others. */
-function planBlind(input: RolloutInput): RolloutPlan {
+/** Releases this leader's hold if nothing was armed under it, so that the group does not wait. */
+function planWithIncompleteReports(input: RolloutInput): RolloutPlan {
   const { state } = input;
   const { heldStep, epoch } = state;
-  const phase = RolloutPhase.Blind;
-  if (heldStep === undefined || state.armsSent) return { phase, orders: [], state };
+  const phase = RolloutPhase.IncompleteReports;
+  if (heldStep === undefined || state.armsSentUnderHold) return { phase, orders: [], state };
   const order: RankOrder = { kind: RankOrderKind.Release, epoch, step: heldStep };
-  const spentSteps = new Set([...state.spentSteps, heldStep]);
+  const abandonedSteps = new Set([...state.abandonedSteps, heldStep]);
   return {
     phase,
-    orders: [{ rank: holderOf(input), order }],
-    state: { ...state, heldStep: undefined, spentSteps },
+    orders: [{ rank: holdingRankOf(input), order }],
+    state: { ...state, heldStep: undefined, abandonedSteps },
   };
 }
 
+/** Plans the next orders and the state of the leader after they were sent. */
 export function planHoldRollout(input: RolloutInput): RolloutPlan {
-  const view = viewOf(input);
-  if (view === undefined) return planBlind(input);
-  const { reports, isWhole } = view;
+  const view = groupViewOf(input);
+  if (view === undefined) return planWithIncompleteReports(input);
+  const { reports, isComplete } = view;
   const epoch = reports[0]?.epoch ?? 0;
-  // Nothing of an earlier epoch is left: the group formed anew with its first map.
-  const known = epoch === input.state.epoch ? input.state : initialRollout(epoch);
-  if (!isWhole) {
-    // What this leader began itself it can judge only with all ranks in sight.
-    if (known.target !== undefined || known.mayHaveArmed)
-      return planBlind({ ...input, state: known });
-    return planWithoutFormer({ ...input, state: known }, reports);
+  // Nothing of an earlier epoch remains: the group has re-formed with its first map.
+  const knownState = epoch === input.state.epoch ? input.state : initialRolloutState(epoch);
+  if (!isComplete) {
+    // What this leader has started itself can be decided only with the reports of all ranks.
+    if (knownState.target !== undefined || knownState.armsSentSinceSettled)
+      return planWithIncompleteReports({ ...input, state: knownState });
+    return planWithoutFormerLeader({ ...input, state: knownState }, reports);
   }
   const heldStep = lowestHeldStep(reports);
   const isAnyArmed = reports.some((report) => report.armed !== undefined);
-  const isFree = heldStep === undefined && !isAnyArmed;
-  // Where the hold was ended before all ranks were armed, nothing of it is left.
-  const state = isFree
-    ? { ...known, isSettled: true, mayHaveArmed: false, armsSent: false }
-    : known;
+  const isGroupFree = heldStep === undefined && !isAnyArmed;
+  // If the hold was ended before all ranks were armed, nothing of it remains.
+  const state = isGroupFree
+    ? { ...knownState, isSettled: true, armsSentSinceSettled: false, armsSentUnderHold: false }
+    : knownState;
   const current = { ...input, state };
   const { target } = state;
-  if (isFree && target !== undefined) {
+  if (isGroupFree && target !== undefined) {
     if (reports.every((report) => report.activeVersion === target.version)) {
-      const done = { ...state, target: undefined, heldStep: undefined, armsSent: false };
+      const done = { ...state, target: undefined, heldStep: undefined, armsSentUnderHold: false };
       return { phase: RolloutPhase.Done, orders: [], state: done };
     }
     return planPreparing(current, reports, target);
   }
-  if (isFree) return { phase: RolloutPhase.Idle, orders: [], state };
+  if (isGroupFree) return { phase: RolloutPhase.Idle, orders: [], state };
   const isOwnHold =
     target !== undefined &&
     heldStep !== undefined &&
     heldStep === state.heldStep &&
-    reports.some((report) => report.heldStep === heldStep && report.rank === holderOf(input)) &&
-    !state.spentSteps.has(heldStep);
+    reports.some(
+      (report) => report.heldStep === heldStep && report.rank === holdingRankOf(input),
+    ) &&
+    !state.abandonedSteps.has(heldStep);
   if (isOwnHold) return planArming(current, reports, target, heldStep);
   return planClearing(current, reports, heldStep);
 }
--- a/packages/placement/src/rollout-state.ts
+++ b/packages/placement/src/rollout-state.ts
@@ -1,6 +1,6 @@
 /**
- * What a leader knows and sends while it brings a map into force, and the orders that the steps
- * of a rollout share.
+ * State, input and plan of a leader that brings a new map into force, and the orders that the
+ * phases of a rollout share.
  */
 import { RankOrderKind } from './rank-report.js';
 import type { GroupMap, RankOrder, RankReport } from './rank-report.js';
@@ -13,18 +13,18 @@
 
 export interface RolloutState {
   readonly epoch: number;
-  /** Undefined when nothing is to be changed. */
+  /** Undefined while no map is to be brought into force. */
   readonly target: RolloutTarget | undefined;
-  /** Pass that this leader asked to hold for its target. */
+  /** Pass that this leader has ordered to be held for its target. */
   readonly heldStep: number | undefined;
   /** Whether an order to arm may have been sent under that hold. */
-  readonly armsSent: boolean;
-  /** Passes whose hold was released with nothing armed; they are never armed for. */
-  readonly spentSteps: ReadonlySet<number>;
-  /** Whether this leader has seen the group whole, with no hold and nothing armed. */
+  readonly armsSentUnderHold: boolean;
+  /** Passes whose hold was released while nothing was armed; ranks are never armed for them. */
+  readonly abandonedSteps: ReadonlySet<number>;
+  /** Whether this leader has seen reports of all ranks, with no hold and nothing armed. */
   readonly isSettled: boolean;
-  /** Whether it sent orders to arm since it last saw the group so. */
-  readonly mayHaveArmed: boolean;
+  /** Whether it has sent orders to arm since it last saw the group in that state. */
+  readonly armsSentSinceSettled: boolean;
 }
 
 export interface AddressedOrder {
@@ -33,15 +33,15 @@
 }
 
 export enum RolloutPhase {
-  /** Not every rank's state is known, or the group is broken. */
-  Blind = 'blind',
+  /** Reports of some ranks are missing, or the group is broken. */
+  IncompleteReports = 'blind',
   Idle = 'idle',
   Preparing = 'preparing',
   Holding = 'holding',
   Arming = 'arming',
-  /** Every rank is armed and the group goes on. */
+  /** Every rank is armed, and the hold is released. */
   Releasing = 'releasing',
-  /** A hold of unknown origin is cleared away. */
+  /** Holds and arms that this leader did not ask for are cleared. */
   Clearing = 'clearing',
   Done = 'done',
 }
@@ -54,37 +54,39 @@
 
 export interface RolloutInput {
   readonly state: RolloutState;
-  /** Fresh reports by rank; undefined where none could be had. */
+  /** Fresh reports by rank; undefined where none could be read. */
   readonly reports: readonly (RankReport | undefined)[];
   readonly ownRank: number;
   /**
-   * Rank of the leader before this one, if it is known to have seen the group free: it armed
-   * its own rank last. One that never did may have found orders of yet another leader.
+   * Rank of the leader before this one, if it is known to have seen the group with no hold and
+   * nothing armed, so that it armed its own rank last. A leader that never saw this may have found
+   * orders of an even earlier leader.
    */
   readonly formerRank: number | undefined;
-  /** How long a pass takes now. */
+  /** Current duration of a pass. */
   readonly passMilliseconds: number;
-  /** How long it took to read all ranks' reports: more ranks take a leader longer. */
-  readonly roundMilliseconds: number;
-  /** Times that an order goes out until most likely every rank has taken it; 1 without losses. */
-  readonly orderRounds: number;
-  /** A version and the map in force, to make earlier orders void with. */
-  readonly voiding: RolloutTarget;
+  /** Time taken to read the reports of all ranks, which grows with their number. */
+  readonly reportRoundMilliseconds: number;
+  /** Attempts after which every rank has most likely received an order; 1 without losses. */
+  readonly expectedOrderAttempts: number;
+  /** The map in force under a newer version, which voids earlier orders once it is prepared. */
+  readonly voidingTarget: RolloutTarget;
 }
 
-export function initialRollout(epoch: number): RolloutState {
+export function initialRolloutState(epoch: number): RolloutState {
   return {
     epoch,
     target: undefined,
     heldStep: undefined,
-    armsSent: false,
-    spentSteps: new Set(),
+    armsSentUnderHold: false,
+    abandonedSteps: new Set(),
     isSettled: false,
-    mayHaveArmed: false,
+    armsSentSinceSettled: false,
   };
 }
 
-export function toAll(
+/** Collects the orders that `select` returns for the ranks' reports. */
+export function selectOrders(
   reports: readonly RankReport[],
   select: (report: RankReport) => RankOrder | undefined,
 ): AddressedOrder[] {
@@ -96,34 +98,36 @@
   return orders;
 }
 
-/** The rank that holds the group: another machine's than this leader's, where there is one. */
-export function holderOf(input: RolloutInput): number {
+/** The rank to hold the group at: one on another machine than this leader's, if there is one. */
+export function holdingRankOf(input: RolloutInput): number {
   return (input.ownRank + 1) % input.reports.length;
 }
 
-/** A rank that holds the pass and is armed for it: it does not end its hold by itself. */
-function isGuard(report: RankReport, version: number, step: number): boolean {
+/**
+ * Whether a rank holds the pass and is armed for it, so that it does not end the hold by itself.
+ */
+function isArmedHolder(report: RankReport, version: number, step: number): boolean {
   return report.heldStep === step && isArmedFor(report, version, step);
 }
 
 /**
- * Orders to arm whoever is not armed yet: first a rank that holds the pass, which may end its hold
- * until it is armed, then all others, and this leader's own rank last.
+ * Orders to arm the ranks that are not armed yet: first a rank that holds the pass, because it may
+ * end its hold until it is armed, then all others, and this leader's own rank last.
  */
-export function planArms(
+export function planArmOrders(
   input: RolloutInput,
   reports: readonly RankReport[],
   version: number,
   step: number,
 ): AddressedOrder[] {
   const { epoch } = input.state;
-  const orders = toAll(reports, (report) =>
+  const orders = selectOrders(reports, (report) =>
     isArmedFor(report, version, step)
       ? undefined
       : { kind: RankOrderKind.Arm, epoch, version, step },
   );
   const others = orders.filter(({ rank }) => rank !== input.ownRank);
-  if (!reports.some((report) => isGuard(report, version, step))) {
+  if (!reports.some((report) => isArmedHolder(report, version, step))) {
     const isHolder = ({ rank }: AddressedOrder): boolean =>
       reports.some((report) => report.rank === rank && report.heldStep === step);
     const holders = others.filter(isHolder);
@@ -132,12 +136,12 @@
   return others.length > 0 ? others : orders;
 }
 
-export function release(
+export function releaseOrders(
   reports: readonly RankReport[],
   step: number,
   epoch: number,
 ): AddressedOrder[] {
-  return toAll(reports, ({ heldStep }) =>
+  return selectOrders(reports, ({ heldStep }) =>
     heldStep === step ? { kind: RankOrderKind.Release, epoch, step } : undefined,
   );
 }
@@ -155,10 +159,10 @@
 }
 
 /**
- * Reports as they are after these orders were accepted. Undefined where reports have to be read
- * anew: an order to arm is carried out when it is answered, others may take effect later.
+ * The reports after these orders were accepted; undefined when they have to be read again. An order
+ * to arm has been carried out when it is answered, while other orders may take effect later.
  */
-export function reportsAfter(
+export function reportsAfterOrders(
   reports: readonly (RankReport | undefined)[],
   accepted: readonly AddressedOrder[],
 ): readonly (RankReport | undefined)[] | undefined {
--- a/packages/placement/src/smooth-load.ts
+++ b/packages/placement/src/smooth-load.ts
@@ -1,15 +1,16 @@
 /**
- * Smoothed token counts of the experts. A single window is noisy, and a load that alternates
- * would have a planner that believes it move experts back and forth for nothing.
+ * Exponential moving average of the token counts of experts. A single window is noisy, and a
+ * planner that followed an alternating load would move experts back and forth without a gain.
+ * `smoothing` is the weight of the new window, from 0 to 1.
  */
 export function smoothTokens(
-  before: readonly number[] | undefined,
+  previous: readonly number[] | undefined,
   window: readonly number[],
   smoothing: number,
 ): number[] {
-  if (before === undefined) return [...window];
+  if (previous === undefined) return [...window];
   return window.map((tokens, expert) => {
-    const known = before[expert] ?? 0;
-    return known + (tokens - known) * smoothing;
+    const previousTokens = previous[expert] ?? 0;
+    return previousTokens + (tokens - previousTokens) * smoothing;
   });
 }
--- a/packages/routing/src/plan-server.test.ts
+++ b/packages/routing/src/plan-server-choice.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 
-import { planServer, ServerChoiceKind } from './plan-server.js';
-import type { ServerView } from './plan-server.js';
+import { planServerChoice, ServerChoiceKind } from './plan-server-choice.js';
+import type { ServerView } from './plan-server-choice.js';
 
 function view(instanceId: string, fields: Partial<ServerView> = {}): ServerView {
   return {
@@ -9,12 +9,12 @@
     availabilityZone: 'zone',
     slots: 8,
     outstanding: 0,
-    expected: 0,
-    unreadTokens: 0,
-    typicalMilliseconds: 100,
-    reportAge: undefined,
-    suspicion: 0,
-    roomInMilliseconds: 0,
+    expectedOutstanding: 0,
+    pendingPrefillTokens: 0,
+    typicalResponseMilliseconds: 100,
+    reportAgeMilliseconds: undefined,
+    decayedFailures: 0,
+    limitedForMilliseconds: 0,
     backoffMilliseconds: 0,
     brokenForMilliseconds: undefined,
     isSilent: false,
@@ -23,77 +23,80 @@
 }
 
 function choose(views: readonly ServerView[], excluded: readonly string[] = []) {
-  const choice = planServer({
+  const choice = planServerChoice({
     views,
     ownZone: 'zone',
     excluded: new Set(excluded),
-    readTokensPerMillisecond: 75,
-    unseenArrivals: 0,
+    prefillTokensPerMillisecond: 75,
+    unreportedArrivals: 0,
     random: () => 0,
   });
   return choice.kind === ServerChoiceKind.Chosen ? choice.view.instanceId : choice.kind;
 }
 
 describe('choosing a server that is called directly', () => {
-  it('prefers room to the own zone, and the own zone when equal', () => {
+  it('prefers capacity to its own zone, and its own zone when loads are equal', () => {
     expect(choose([view('far', { availabilityZone: 'other' }), view('near')])).toBe('near');
     const full = view('near', { outstanding: 16 });
     expect(choose([view('far', { availabilityZone: 'other' }), full])).toBe('far');
   });
 
-  it('counts prompts that are sent there and not read yet', () => {
-    expect(choose([view('reading', { unreadTokens: 2000 }), view('free')])).toBe('free');
+  it('counts prompts that await prefill', () => {
+    expect(choose([view('reading', { pendingPrefillTokens: 2000 }), view('free')])).toBe('free');
   });
 
-  it('uses a server that fails only when no other is left', () => {
-    // A grey server answers fast with errors, so by its load alone it would draw every request.
-    const grey = view('grey', { suspicion: 2, typicalMilliseconds: 20 });
+  it('uses a failing server only when no other is left', () => {
+    // A server with a gray failure answers fast with errors, so that its low load alone would
+    // attract every request.
+    const grey = view('grey', { decayedFailures: 2, typicalResponseMilliseconds: 20 });
     expect(choose([grey, view('sound', { outstanding: 4 })])).toBe('sound');
     expect(choose([grey, view('sound')], ['sound'])).toBe('grey');
   });
 
-  it('passes over a silent server even where all others are full', () => {
-    // Guards against taking a server that has stopped for one with room.
+  it('skips a silent server even when all others are full', () => {
+    // Guards against choosing a server that has stopped because it looks idle.
     const silent = view('silent', { isSilent: true });
     expect(choose([silent, view('busy', { outstanding: 12 })])).toBe('busy');
     expect(choose([silent, view('busy')], ['busy'])).toBe(ServerChoiceKind.AllCrowded);
   });
 
-  it('passes over servers that back off, and says until when where no other is left', () => {
-    // Guards against sending to a server that has asked for rest since it looks idle.
+  it('skips servers that back off, and returns the shortest backoff when no other is left', () => {
+    // Guards against choosing a server that has asked for a backoff because it looks idle.
     const short = view('short', { backoffMilliseconds: 700 });
     const long = view('long', { backoffMilliseconds: 3000 });
     expect(choose([short, view('busy', { outstanding: 12 })])).toBe('busy');
-    expect(choose([short, view('cold', { roomInMilliseconds: 200 })])).toBe(
+    expect(choose([short, view('cold', { limitedForMilliseconds: 200 })])).toBe(
       ServerChoiceKind.AllLimited,
     );
-    // One that this entry is not to send to at all is limited, whatever it asks for.
-    const foreign = view('foreign', { backoffMilliseconds: 700, roomInMilliseconds: Infinity });
+    // A server that this entry may not send to at all counts as limited, even if it also backs off.
+    const foreign = view('foreign', { backoffMilliseconds: 700, limitedForMilliseconds: Infinity });
     expect(choose([foreign])).toBe(ServerChoiceKind.AllLimited);
-    const choice = planServer({
-      views: [short, long, view('cold', { roomInMilliseconds: 900 })],
+    const choice = planServerChoice({
+      views: [short, long, view('cold', { limitedForMilliseconds: 900 })],
       ownZone: 'zone',
       excluded: new Set(),
-      readTokensPerMillisecond: 75,
-      unseenArrivals: 0,
+      prefillTokensPerMillisecond: 75,
+      unreportedArrivals: 0,
       random: () => 0,
     });
     expect(choice).toEqual({ kind: ServerChoiceKind.AllBackingOff, backoffMilliseconds: 700 });
   });
 
-  it('passes over servers whose group stands still, and says so when no other is left', () => {
-    // A request sent to a group that stands still hangs or is refused, while a second group of
-    // the same service could have answered it.
+  it('skips servers of broken groups, and says so when no other is left', () => {
+    // A request sent to a broken group hangs or is refused, while another group of the same service
+    // could have answered it.
     const broken = view('broken', { brokenForMilliseconds: 5 });
     expect(choose([broken, view('open', { outstanding: 8 })])).toBe('open');
     expect(choose([broken])).toBe(ServerChoiceKind.AllBroken);
-    expect(choose([broken, view('cold', { roomInMilliseconds: 200 })])).toBe(
+    expect(choose([broken, view('cold', { limitedForMilliseconds: 200 })])).toBe(
       ServerChoiceKind.AllLimited,
     );
   });
 
-  it('tells servers that are limited from servers that are not there', () => {
-    expect(choose([view('cold', { roomInMilliseconds: 200 })])).toBe(ServerChoiceKind.AllLimited);
+  it('distinguishes limited servers from no servers', () => {
+    expect(choose([view('cold', { limitedForMilliseconds: 200 })])).toBe(
+      ServerChoiceKind.AllLimited,
+    );
     expect(choose([])).toBe(ServerChoiceKind.NoneLeft);
   });
 });
--- a/packages/routing/src/plan-subset.ts
+++ b/packages/routing/src/plan-subset.ts
@@ -1,7 +1,7 @@
 /**
- * Plans which backend servers an entry keeps connections to. With many entries and many
- * servers, all-to-all connections would cost each process memory and heartbeats in
- * proportion to the fleet; a subset keeps the cost fixed.
+ * Deterministic subsetting: plans which backend servers an entry keeps connections to. If every
+ * entry were connected to every server, the memory and heartbeats of each process would grow with
+ * the fleet; a subset keeps them constant.
  */
 import { rendezvousOrder } from './rendezvous.js';
 
@@ -11,9 +11,9 @@
 }
 
 /**
- * Takes up to `size` members: half from the entry's own zone, the rest in turn from the
- * other zones, so that the loss of any one zone leaves servers to go on with. What a zone
- * cannot fill is filled from the others.
+ * Returns the instance ids of up to `size` members: half from the entry's own zone, the rest in
+ * turn from the other zones, so that servers remain after the loss of any one zone. Where one zone
+ * has too few servers, the others fill its share.
  */
 export function planSubset(
   entryId: string,
@@ -24,23 +24,25 @@
   if (members.length <= size) return new Set(members.map((member) => member.instanceId));
   const byZone = new Map<string, string[]>();
   for (const member of members) {
-    const names = byZone.get(member.availabilityZone) ?? [];
-    names.push(member.instanceId);
-    byZone.set(member.availabilityZone, names);
+    const instanceIds = byZone.get(member.availabilityZone) ?? [];
+    instanceIds.push(member.instanceId);
+    byZone.set(member.availabilityZone, instanceIds);
   }
-  const own = rendezvousOrder(entryId, byZone.get(ownZone) ?? []);
+  const ownZoneServers = rendezvousOrder(entryId, byZone.get(ownZone) ?? []);
   byZone.delete(ownZone);
-  const others = [...byZone.values()].map((names) => rendezvousOrder(entryId, names));
-  const chosen = new Set(own.splice(0, Math.ceil(size / 2)));
-  while (chosen.size < size) {
-    const before = chosen.size;
-    for (const names of others) {
-      const next = names.shift();
-      if (next !== undefined && chosen.size < size) chosen.add(next);
+  const otherZones = [...byZone.values()].map((instanceIds) =>
+    rendezvousOrder(entryId, instanceIds),
+  );
+  const subset = new Set(ownZoneServers.splice(0, Math.ceil(size / 2)));
+  while (subset.size < size) {
+    const sizeBefore = subset.size;
+    for (const instanceIds of otherZones) {
+      const next = instanceIds.shift();
+      if (next !== undefined && subset.size < size) subset.add(next);
     }
-    if (chosen.size > before) continue;
-    for (const name of own.splice(0, size - chosen.size)) chosen.add(name);
+    if (subset.size > sizeBefore) continue;
+    for (const instanceId of ownZoneServers.splice(0, size - subset.size)) subset.add(instanceId);
     break;
   }
-  return chosen;
+  return subset;
 }
