--- a/packages/catalog/src/catalog.test.ts
+++ b/packages/catalog/src/catalog.test.ts
@@ -2,7 +2,7 @@
 
 import { createCatalog } from './catalog.js';
 import { followTable } from './follow-table.js';
-import { LAPSE_MILLISECONDS, retainLapsed } from './retain-lapsed.js';
+import { REREGISTRATION_MILLISECONDS, retainExpiredServers } from './retain-expired-servers.js';
 import { createStoreClock } from './store-clock.js';
 import { FeedKind } from './store.js';
 import type { Feed, RowList, Store, StoreRow } from './store.js';
@@ -43,20 +43,20 @@
     // A peer that lags, or a store that answers from behind, brings back a key that was removed.
     const catalog = createCatalog();
     const drainedZones = new Set<string>();
-    catalog.replaceOperators({ revision: 5, configuration: configuration(7), drainedZones });
+    catalog.replaceOperatorState({ revision: 5, configuration: configuration(7), drainedZones });
     expect(
-      catalog.replaceOperators({ revision: 4, configuration: configuration(6), drainedZones }),
+      catalog.replaceOperatorState({ revision: 4, configuration: configuration(6), drainedZones }),
     ).toBe(false);
-    catalog.replaceOperators({ revision: 6, configuration: configuration(6), drainedZones });
-    expect(catalog.operators().configuration?.version).toBe(7);
+    catalog.replaceOperatorState({ revision: 6, configuration: configuration(6), drainedZones });
+    expect(catalog.operatorState().configuration?.version).toBe(7);
   });
 
   it('keeps its configuration when the row turns unreadable', () => {
     const catalog = createCatalog();
     const drainedZones = new Set<string>();
-    catalog.replaceOperators({ revision: 5, configuration: configuration(7), drainedZones });
-    catalog.replaceOperators({ revision: 6, configuration: undefined, drainedZones });
-    expect(catalog.operators().configuration?.version).toBe(7);
+    catalog.replaceOperatorState({ revision: 5, configuration: configuration(7), drainedZones });
+    catalog.replaceOperatorState({ revision: 6, configuration: undefined, drainedZones });
+    expect(catalog.operatorState().configuration?.version).toBe(7);
   });
 });
 
@@ -70,16 +70,27 @@
     // The store was away for longer than a row lives. Its first list lacks servers that stand
     // idle; dropping them would refuse callers for two seconds.
     const listed = new Map([['one', server('one', 1)]]);
-    expect([...retainLapsed({ before, listed, sinceReturn: 100 }).keys()]).toEqual(['one', 'two']);
-    const after = retainLapsed({ before, listed, sinceReturn: LAPSE_MILLISECONDS });
+    expect([
+      ...retainExpiredServers({ before, listed, sinceRecoveryMilliseconds: 100 }).keys(),
+    ]).toEqual(['one', 'two']);
+    const after = retainExpiredServers({
+      before,
+      listed,
+      sinceRecoveryMilliseconds: REREGISTRATION_MILLISECONDS,
+    });
     expect([...after.keys()]).toEqual(['one']);
   });
 
   it('are gone when they had begun to leave, or another has their address', () => {
     const leaving = new Map([['two', { ...server('two', 2), draining: true }]]);
-    expect(retainLapsed({ before: leaving, listed: new Map(), sinceReturn: 0 }).size).toBe(0);
+    expect(
+      retainExpiredServers({ before: leaving, listed: new Map(), sinceRecoveryMilliseconds: 0 })
+        .size,
+    ).toBe(0);
     const listed = new Map([['three', server('three', 2)]]);
-    expect(retainLapsed({ before, listed, sinceReturn: 0 }).has('two')).toBe(false);
+    expect(retainExpiredServers({ before, listed, sinceRecoveryMilliseconds: 0 }).has('two')).toBe(
+      false,
+    );
   });
 });
 
@@ -89,14 +100,14 @@
 const noAnswer = (): void => undefined;
 
 /** A store that gives prepared answers, one after the other. */
-function scripted(lists: RowList[], feeds: (FeedScript | Error)[]): Store {
+function scriptedStore(lists: RowList[], feeds: (FeedScript | Error)[]): Store {
   return {
-    list: async () => ({ ...(lists.shift() ?? { rows: [], revision: 0 }), givenAt: 0 }),
+    list: async () => ({ ...(lists.shift() ?? { rows: [], revision: 0 }), answeredAt: 0 }),
     async feed() {
       const next = feeds.shift();
       if (next instanceof Error) throw next;
       if (next === undefined) return new Promise<Feed>(noAnswer);
-      return next.kind === FeedKind.Changes ? { ...next, givenAt: 0 } : next;
+      return next.kind === FeedKind.Changes ? { ...next, answeredAt: 0 } : next;
     },
     write: async () => {
       throw new Error('not used');
@@ -104,19 +115,19 @@
   };
 }
 
-async function follow(lists: RowList[], feeds: (FeedScript | Error)[]): Promise<string[]> {
+async function followScript(lists: RowList[], feeds: (FeedScript | Error)[]): Promise<string[]> {
   const seen: string[] = [];
   let finished: () => void = () => undefined;
   const isFinished = new Promise<void>((resolve) => {
     finished = resolve;
   });
   const follower = followTable({
-    store: scripted(lists, feeds),
+    store: scriptedStore(lists, feeds),
     table: 'table',
     part: '',
-    waitMilliseconds: () => 1,
+    longPollMilliseconds: () => 1,
     pauseMilliseconds: () => 0,
-    longestRetryMilliseconds: () => 800,
+    maximumRetryMilliseconds: () => 800,
     delegatedMilliseconds: () => 0,
     random: () => 0,
     clock: createStoreClock(() => 0),
@@ -136,7 +147,7 @@
 
 describe('following a table', () => {
   it('applies changes and removals in order', async () => {
-    const seen = await follow(
+    const seen = await followScript(
       [{ rows: [row('a', 'x', 1)], revision: 2 }],
       [
         { kind: FeedKind.Changes, rows: [row('b', 'y', 3)], revision: 3 },
@@ -149,7 +160,7 @@
   it('reads all again when the history is gone', async () => {
     // The store drops its history in the gap in which a server left. Going on from the newest
     // revision would keep that server for ever.
-    const seen = await follow(
+    const seen = await followScript(
       [
         { rows: [row('a', 'x', 1), row('b', 'x', 2)], revision: 2 },
         { rows: [row('b', 'x', 2)], revision: 9 },
@@ -160,7 +171,7 @@
   });
 
   it('does not take a list from behind what it knows', async () => {
-    const seen = await follow(
+    const seen = await followScript(
       [
         { rows: [row('a', 'x', 5)], revision: 5 },
         { rows: [], revision: 3 },
@@ -172,7 +183,7 @@
   });
 
   it('goes on after calls that fail', async () => {
-    const seen = await follow(
+    const seen = await followScript(
       [{ rows: [row('a', 'x', 1)], revision: 1 }],
       [new Error('no answer'), { kind: FeedKind.Changes, rows: [row('b', 'y', 2)], revision: 2 }],
     );
--- a/packages/catalog/src/catalog.ts
+++ b/packages/catalog/src/catalog.ts
@@ -6,7 +6,7 @@
  */
 import type { BackendServer, Configuration } from './types.js';
 
-export interface OperatorOrders {
+export interface OperatorState {
   readonly revision: number;
   readonly configuration: Configuration | undefined;
   readonly drainedZones: ReadonlySet<string>;
@@ -18,17 +18,17 @@
 }
 
 export interface Catalog {
-  operators(): OperatorOrders;
+  operatorState(): OperatorState;
   servers(): ServerList;
   /** Takes newer operators' orders; false when they are not newer. */
-  replaceOperators(orders: OperatorOrders): boolean;
+  replaceOperatorState(next: OperatorState): boolean;
   replaceServers(list: ServerList): boolean;
   /** Called after each change. */
   onChange(listener: () => void): void;
 }
 
 export function createCatalog(): Catalog {
-  let operators: OperatorOrders = {
+  let operatorState: OperatorState = {
     revision: 0,
     configuration: undefined,
     drainedZones: new Set(),
@@ -36,27 +36,27 @@
   let serverList: ServerList = { revision: 0, servers: new Map() };
   const listeners: (() => void)[] = [];
 
-  function changed(): void {
+  function notifyListeners(): void {
     for (const listener of listeners) listener();
   }
 
   return {
-    operators: () => operators,
+    operatorState: () => operatorState,
     servers: () => serverList,
-    replaceOperators(orders) {
-      if (orders.revision < operators.revision) return false;
-      const known = operators.configuration;
+    replaceOperatorState(next) {
+      if (next.revision < operatorState.revision) return false;
+      const current = operatorState.configuration;
       const isOlder =
-        known !== undefined &&
-        (orders.configuration === undefined || orders.configuration.version < known.version);
-      operators = isOlder ? { ...orders, configuration: known } : orders;
-      changed();
+        current !== undefined &&
+        (next.configuration === undefined || next.configuration.version < current.version);
+      operatorState = isOlder ? { ...next, configuration: current } : next;
+      notifyListeners();
       return true;
     },
     replaceServers(list) {
       if (list.revision < serverList.revision) return false;
       serverList = list;
-      changed();
+      notifyListeners();
       return true;
     },
     onChange(listener) {
--- a/packages/catalog/src/drop-replaced.test.ts
+++ b/packages/catalog/src/drop-replaced-servers.test.ts
@@ -1,6 +1,6 @@
 import { expect, it } from 'vitest';
 
-import { dropReplaced } from './drop-replaced.js';
+import { dropReplacedServers } from './drop-replaced-servers.js';
 import type { BackendServer } from './types.js';
 
 function server(instanceId: string, port: number, startedAt: number | undefined): BackendServer {
@@ -18,7 +18,7 @@
 }
 
 function kept(...servers: BackendServer[]): string[] {
-  return [...dropReplaced(new Map(servers.map((one) => [one.instanceId, one]))).keys()];
+  return [...dropReplacedServers(new Map(servers.map((one) => [one.instanceId, one]))).keys()];
 }
 
 it('keeps the server that started last at an address', () => {
--- a/packages/catalog/src/drop-replaced.ts
+++ b/packages/catalog/src/drop-replaced-servers.ts
@@ -7,21 +7,25 @@
 import type { BackendServer } from './types.js';
 
 /** The servers to use: of several at one address, the one that started last. */
-export function dropReplaced(
+export function dropReplacedServers(
   listed: ReadonlyMap<string, BackendServer>,
 ): ReadonlyMap<string, BackendServer> {
-  const latest = new Map<string, number>();
+  const latestStartByAddress = new Map<string, number>();
   for (const { host, port, startedAt } of listed.values()) {
     const address = `${host}:${port}`;
     if (startedAt !== undefined) {
-      latest.set(address, Math.max(startedAt, latest.get(address) ?? -Infinity));
+      latestStartByAddress.set(
+        address,
+        Math.max(startedAt, latestStartByAddress.get(address) ?? -Infinity),
+      );
     }
   }
   const kept = new Map<string, BackendServer>();
   for (const [instanceId, server] of listed) {
     const { host, port, startedAt } = server;
     // One that does not say when it started may be the later one.
-    const isReplaced = startedAt !== undefined && startedAt < (latest.get(`${host}:${port}`) ?? 0);
+    const isReplaced =
+      startedAt !== undefined && startedAt < (latestStartByAddress.get(`${host}:${port}`) ?? 0);
     if (!isReplaced) kept.set(instanceId, server);
   }
   return kept;
--- a/packages/catalog/src/find-route.ts
+++ b/packages/catalog/src/find-route.ts
@@ -40,13 +40,13 @@
 }
 
 /** Picks a service in proportion to the route's weights; `share` is uniform in [0, 1). */
-export function pickService(route: Route, share: number): string {
-  let total = 0;
-  for (const { weight } of route.targets) total += weight;
-  let left = share * total;
+export function pickService(route: Route, sample: number): string {
+  let totalWeight = 0;
+  for (const { weight } of route.targets) totalWeight += weight;
+  let remainingWeight = sample * totalWeight;
   for (const { service, weight } of route.targets) {
-    left -= weight;
-    if (left < 0) return service;
+    remainingWeight -= weight;
+    if (remainingWeight < 0) return service;
   }
   return route.targets.at(-1)?.service ?? '';
 }
--- a/packages/catalog/src/fingerprint.ts
+++ b/packages/catalog/src/fingerprint.ts
@@ -3,11 +3,11 @@
  */
 import { createHash } from 'node:crypto';
 
-const LENGTH = 12;
+const FINGERPRINT_CHARACTERS = 12;
 
 /** The same for the same texts, in whatever order they come. */
 export function fingerprintOf(texts: Iterable<string>): string {
   const hash = createHash('sha1');
   for (const text of [...texts].sort()) hash.update(text).update('\n');
-  return hash.digest('base64').slice(0, LENGTH);
+  return hash.digest('base64').slice(0, FINGERPRINT_CHARACTERS);
 }
--- a/packages/catalog/src/follow-table.test.ts
+++ b/packages/catalog/src/follow-table.test.ts
@@ -19,13 +19,13 @@
   readonly clock: StoreClock;
   readonly keys: () => string[];
   /** Answers the call for changes as of a moment. */
-  answer(list: RowList, givenAt: number): Promise<void>;
+  answer(list: RowList, answeredAt: number): Promise<void>;
 }> {
   const time = { now: 0 };
   const clock = createStoreClock(() => time.now);
   const calls: ((feed: Feed) => void)[] = [];
   const store: Store = {
-    list: async () => ({ rows: [row('first', 1)], revision: 1, givenAt: time.now }),
+    list: async () => ({ rows: [row('first', 1)], revision: 1, answeredAt: time.now }),
     feed: () =>
       new Promise((resolve) => {
         calls.push(resolve);
@@ -38,9 +38,9 @@
     store,
     table: 'table',
     part: '',
-    waitMilliseconds: () => 1000,
+    longPollMilliseconds: () => 1000,
     pauseMilliseconds: () => 0,
-    longestRetryMilliseconds: () => 800,
+    maximumRetryMilliseconds: () => 800,
     delegatedMilliseconds: () => 0,
     random: () => 0,
     clock,
@@ -55,8 +55,8 @@
     time,
     clock,
     keys: () => [...(follower.copy()?.rows.keys() ?? [])],
-    async answer(list, givenAt) {
-      calls.shift()?.({ kind: FeedKind.Changes, ...list, givenAt });
+    async answer(list, answeredAt) {
+      calls.shift()?.({ kind: FeedKind.Changes, ...list, answeredAt });
       await vi.waitFor(() => expect(calls).toHaveLength(1));
       follower.stop();
     },
@@ -67,17 +67,17 @@
   it('still brings what is newer than the copy', async () => {
     // Guards against a confirmed change that an entry drops and then takes for known.
     const { follower, keys, answer } = await startFollowing();
-    follower.adopt({ rows: [row('first', 1), row('second', 2)], revision: 2 });
+    follower.replaceIfNewer({ rows: [row('first', 1), row('second', 2)], revision: 2 });
     await answer({ rows: [row('second', 2), row('third', 3)], revision: 3 }, 0);
     expect(keys()).toEqual(['first', 'second', 'third']);
   });
 
   it('does not confirm a copy that is newer than the answer', async () => {
     const { follower, time, answer } = await startFollowing();
-    follower.adopt({ rows: [row('first', 1), row('third', 3)], revision: 3 });
+    follower.replaceIfNewer({ rows: [row('first', 1), row('third', 3)], revision: 3 });
     time.now = 500;
     await answer({ rows: [row('second', 2)], revision: 2 }, 400);
-    expect(follower.confirmation()?.givenAt).toBe(0);
+    expect(follower.confirmation()?.answeredAt).toBe(0);
   });
 });
 
@@ -87,7 +87,7 @@
     const { follower, time, clock, answer } = await startFollowing();
     time.now = 5000;
     await answer({ rows: [], revision: 1 }, 1000);
-    expect(clock.ageMilliseconds(follower.confirmation()?.givenAt ?? NaN)).toBe(4000);
+    expect(clock.ageMilliseconds(follower.confirmation()?.answeredAt ?? NaN)).toBe(4000);
   });
 });
 
@@ -98,7 +98,7 @@
     time.now = 200;
     await answer({ rows: [], revision: 1 }, -10_000);
     const confirmation = follower.confirmation();
-    expect(clock.ageMilliseconds(confirmation?.givenAt ?? NaN)).toBe(10_200);
-    expect(confirmation?.askedAt).toBe(0);
+    expect(clock.ageMilliseconds(confirmation?.answeredAt ?? NaN)).toBe(10_200);
+    expect(confirmation?.requestedAt).toBe(0);
   });
 });
--- a/packages/catalog/src/follow-table.ts
+++ b/packages/catalog/src/follow-table.ts
@@ -7,16 +7,16 @@
 import type { RowList, Store, StoreRow } from './store.js';
 import type { StoreClock } from './store-clock.js';
 
-export interface FollowOptions {
+export interface FollowTableOptions {
   readonly store: Store;
   readonly table: string;
   readonly part: string;
   /** How long one call waits at the store for a change. */
-  waitMilliseconds(): number;
+  longPollMilliseconds(): number;
   /** Pause between two calls, for tables that change all the time: calls are what costs. */
   pauseMilliseconds(): number;
   /** Longest pause between two tries while calls fail. */
-  longestRetryMilliseconds(): number;
+  maximumRetryMilliseconds(): number;
   readonly random: () => number;
   /** Milliseconds for which other instances read the table for this one; 0 when it has to itself. */
   delegatedMilliseconds(): number;
@@ -30,11 +30,11 @@
 }
 
 /** An answer of the store by which a copy was the newest. */
-export interface OwnConfirmation {
+export interface StoreConfirmation {
   /** When the store gave it: milliseconds of its clock. */
-  readonly givenAt: number;
+  readonly answeredAt: number;
   /** When it was asked for, by the own clock: it cannot be older than that. */
-  readonly askedAt: number;
+  readonly requestedAt: number;
 }
 
 export interface TableFollower {
@@ -43,59 +43,59 @@
   /** The copy as it stands; undefined before the first read. */
   copy(): { readonly rows: ReadonlyMap<string, StoreRow>; readonly revision: number } | undefined;
   /** Takes another's whole copy when it is newer than this one. */
-  adopt(list: RowList): boolean;
+  replaceIfNewer(list: RowList): boolean;
   /** Takes note that another has the same rows as of a revision. */
-  advance(revision: number): void;
+  advanceRevision(revision: number): void;
   /** The store's last confirmation of the copy to this instance; undefined before the first. */
-  confirmation(): OwnConfirmation | undefined;
+  confirmation(): StoreConfirmation | undefined;
   /** Whether the last call got no usable answer. */
   isFailing(): boolean;
 }
 
 /** First pause after a failure, in milliseconds: short, since changes must be seen in 2 s. */
-const FIRST_RETRY_MILLISECONDS = 100;
+const INITIAL_RETRY_MILLISECONDS = 100;
 /** Longest time between two looks at whether the store has to be asked after all. */
-const REST_MILLISECONDS = 250;
+const DELEGATION_CHECK_MILLISECONDS = 250;
 
-export function followTable(options: FollowOptions): TableFollower {
+export function followTable(options: FollowTableOptions): TableFollower {
   const { store, table, part } = options;
   const rows = new Map<string, StoreRow>();
   let revision = 0;
-  let isWhole = false;
+  let isLoaded = false;
   let stopped = false;
   let failures = 0;
-  let confirmation: OwnConfirmation | undefined;
+  let confirmation: StoreConfirmation | undefined;
   let timer: NodeJS.Timeout | undefined;
 
-  function confirm(givenAt: number, askedAt: number): void {
-    options.clock.observe(givenAt);
-    confirmation = { givenAt, askedAt };
+  function recordConfirmation(answeredAt: number, requestedAt: number): void {
+    options.clock.observe(answeredAt);
+    confirmation = { answeredAt, requestedAt };
   }
 
-  async function readWhole(): Promise<void> {
-    const askedAt = options.now();
+  async function loadAllRows(): Promise<void> {
+    const requestedAt = options.now();
     const list = await store.list(table, part);
     if (list.revision < revision) throw new Error('the store answers from behind');
-    confirm(list.givenAt, askedAt);
-    replace(list);
+    recordConfirmation(list.answeredAt, requestedAt);
+    replaceRows(list);
   }
 
-  function replace(list: RowList): void {
+  function replaceRows(list: RowList): void {
     rows.clear();
     for (const row of list.rows) rows.set(row.key, row);
     revision = list.revision;
-    isWhole = true;
+    isLoaded = true;
     options.onRows(rows, revision);
   }
 
-  async function readChanges(): Promise<void> {
-    const askedFrom = revision;
-    const askedAt = options.now();
-    const feed = await store.feed(table, askedFrom, options.waitMilliseconds());
+  async function pollChanges(): Promise<void> {
+    const requestedSince = revision;
+    const requestedAt = options.now();
+    const feed = await store.feed(table, requestedSince, options.longPollMilliseconds());
     switch (feed.kind) {
       case FeedKind.HistoryGone:
-        isWhole = false;
-        await readWhole();
+        isLoaded = false;
+        await loadAllRows();
         return;
       case FeedKind.Changes:
         break;
@@ -106,10 +106,10 @@
     }
     if (feed.revision < revision) {
       // Another instance's copy came meanwhile, and is newer than this answer.
-      if (revision > askedFrom) return;
+      if (revision > requestedSince) return;
       throw new Error('the store answers from behind');
     }
-    confirm(feed.givenAt, askedAt);
+    recordConfirmation(feed.answeredAt, requestedAt);
     let changed = false;
     for (const row of feed.rows) {
       if (row.part !== part) continue;
@@ -121,51 +121,51 @@
     if (changed) options.onRows(rows, revision);
   }
 
-  async function step(): Promise<void> {
-    const rest = isWhole ? options.delegatedMilliseconds() : 0;
-    if (rest > 0) {
+  async function poll(): Promise<void> {
+    const delegatedFor = isLoaded ? options.delegatedMilliseconds() : 0;
+    if (delegatedFor > 0) {
       failures = 0;
-      schedule(Math.min(rest, REST_MILLISECONDS));
+      schedule(Math.min(delegatedFor, DELEGATION_CHECK_MILLISECONDS));
       return;
     }
     let pause = options.pauseMilliseconds();
     try {
-      if (isWhole) await readChanges();
-      else await readWhole();
+      if (isLoaded) await pollChanges();
+      else await loadAllRows();
       failures = 0;
       options.onStoreResult(true, '');
     } catch (thrown) {
       options.onStoreResult(false, thrown instanceof Error ? thrown.message : String(thrown));
-      const longest = Math.min(
-        options.longestRetryMilliseconds(),
-        FIRST_RETRY_MILLISECONDS * 2 ** Math.min(failures, 6),
+      const maximumPause = Math.min(
+        options.maximumRetryMilliseconds(),
+        INITIAL_RETRY_MILLISECONDS * 2 ** Math.min(failures, 6),
       );
       failures += 1;
-      pause = longest * (0.5 + options.random() / 2);
+      pause = maximumPause * (0.5 + options.random() / 2);
     }
     schedule(pause);
   }
 
   function schedule(pause: number): void {
-    if (!stopped) timer = setTimeout(() => void step(), pause);
+    if (!stopped) timer = setTimeout(() => void poll(), pause);
   }
 
   return {
     start() {
-      void step();
+      void poll();
     },
     stop() {
       stopped = true;
       clearTimeout(timer);
     },
-    copy: () => (isWhole ? { rows, revision } : undefined),
-    adopt(list) {
+    copy: () => (isLoaded ? { rows, revision } : undefined),
+    replaceIfNewer(list) {
       if (list.revision <= revision) return false;
-      replace(list);
+      replaceRows(list);
       return true;
     },
-    advance(to) {
-      if (isWhole) revision = Math.max(revision, to);
+    advanceRevision(newRevision) {
+      if (isLoaded) revision = Math.max(revision, newRevision);
     },
     confirmation: () => confirmation,
     isFailing: () => failures > 0,
--- a/packages/catalog/src/freshness-watch.test.ts
+++ b/packages/catalog/src/freshness-tracker.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 
-import { createFreshnessWatch } from './freshness-watch.js';
-import type { CopyVersion, FreshnessReport } from './freshness-watch.js';
+import { createFreshnessTracker } from './freshness-tracker.js';
+import type { CopyVersion, FreshnessReport } from './freshness-tracker.js';
 import { createStoreClock } from './store-clock.js';
 
 const OLDER: CopyVersion = { revision: 5, fingerprint: 'older' };
@@ -11,19 +11,19 @@
  * The watch of an entry that the store has answered once, at a time that tests set; clocks of
  * entries and of the store are the same.
  */
-function startWatch(time: { now: number }) {
+function startTracker(time: { now: number }) {
   const clock = createStoreClock(() => time.now);
   clock.observe(time.now);
-  const watch = createFreshnessWatch(() => time.now, clock);
+  const tracker = createFreshnessTracker(() => time.now, clock);
   const ageOf = (copy: CopyVersion): number => {
-    const confirmedAt = watch.confirmedAt(copy);
+    const confirmedAt = tracker.confirmedAt(copy);
     return confirmedAt === undefined ? Infinity : clock.ageMilliseconds(confirmedAt);
   };
   return {
-    ...watch,
+    ...tracker,
     ageOf,
     report(copy: CopyVersion): FreshnessReport {
-      return { ...copy, confirmedAt: watch.confirmedAt(copy) ?? NaN };
+      return { ...copy, confirmedAt: tracker.confirmedAt(copy) ?? NaN };
     },
   };
 }
@@ -35,17 +35,17 @@
 describe('a copy of a table', () => {
   it('is confirmed by the report of a reader, until that grows old', () => {
     const time = { now: 0 };
-    const watch = startWatch(time);
-    expect(watch.ageOf(OLDER)).toBe(Infinity);
-    watch.onReport('a', reportOf(OLDER, 0));
+    const tracker = startTracker(time);
+    expect(tracker.ageOf(OLDER)).toBe(Infinity);
+    tracker.onReport('a', reportOf(OLDER, 0));
     time.now += 300;
-    expect(watch.ageOf(OLDER)).toBe(300);
+    expect(tracker.ageOf(OLDER)).toBe(300);
   });
 
   it('is no fresher than the store’s own answer, however often it is passed on', () => {
     // Guards against sending work to a server that left while the store refused every reader.
     const time = { now: 0 };
-    const [relay, follower] = [startWatch(time), startWatch(time)];
+    const [relay, follower] = [startTracker(time), startTracker(time)];
     relay.onReport('reader', reportOf(OLDER, -700));
     time.now += 400;
     const told = relay.report(OLDER);
@@ -58,7 +58,7 @@
   it('grows old where entries confirm it to each other, however long their messages take', () => {
     // Guards against entries that keep a copy fresh although the store has answered none of them.
     const time = { now: 0 };
-    const [left, right] = [startWatch(time), startWatch(time)];
+    const [left, right] = [startTracker(time), startTracker(time)];
     left.onReport('reader', reportOf(OLDER, 0));
     for (let round = 0; round < 40; round += 1) {
       const toRight = left.report(OLDER);
@@ -73,33 +73,33 @@
   });
 
   it('is not confirmed while a reader has a newer one', () => {
-    const watch = startWatch({ now: 0 });
-    watch.onReport('a', reportOf(OLDER, 0));
-    watch.onReport('b', reportOf(NEWER, 0));
-    expect(watch.ageOf(OLDER)).toBe(Infinity);
-    expect(watch.ageOf(NEWER)).toBe(0);
+    const tracker = startTracker({ now: 0 });
+    tracker.onReport('a', reportOf(OLDER, 0));
+    tracker.onReport('b', reportOf(NEWER, 0));
+    expect(tracker.ageOf(OLDER)).toBe(Infinity);
+    expect(tracker.ageOf(NEWER)).toBe(0);
   });
 
   it('is confirmed again once a reader with a newer one has been gone for long', () => {
     // Guards against reading the store for ever because a dead entry once reported more.
     const time = { now: 0 };
-    const watch = startWatch(time);
-    watch.onReport('b', reportOf(NEWER, 0));
+    const tracker = startTracker(time);
+    tracker.onReport('b', reportOf(NEWER, 0));
     time.now += 20_000;
-    watch.onReport('a', reportOf(OLDER, time.now));
-    expect(watch.ageOf(OLDER)).toBe(0);
+    tracker.onReport('a', reportOf(OLDER, time.now));
+    expect(tracker.ageOf(OLDER)).toBe(0);
   });
 
   it('is confirmed by a copy of a later revision with the same content', () => {
     // Guards against a fleet that fetches all tables anew whenever an entry starts.
-    const watch = startWatch({ now: 0 });
-    watch.onReport('started', reportOf({ ...OLDER, revision: 9 }, 0));
-    expect(watch.ageOf(OLDER)).toBe(0);
+    const tracker = startTracker({ now: 0 });
+    tracker.onReport('started', reportOf({ ...OLDER, revision: 9 }, 0));
+    expect(tracker.ageOf(OLDER)).toBe(0);
   });
 
   it('is not confirmed by an older one', () => {
-    const watch = startWatch({ now: 0 });
-    watch.onReport('a', reportOf(OLDER, 0));
-    expect(watch.ageOf(NEWER)).toBe(Infinity);
+    const tracker = startTracker({ now: 0 });
+    tracker.onReport('a', reportOf(OLDER, 0));
+    expect(tracker.ageOf(NEWER)).toBe(Infinity);
   });
 });
--- a/packages/catalog/src/freshness-watch.ts
+++ b/packages/catalog/src/freshness-tracker.ts
@@ -39,13 +39,13 @@
 
 export interface Confirmation {
   /** Instance id of the entry that reported it. */
-  readonly entry: string;
+  readonly entryId: string;
   readonly confirmedAt: number;
 }
 
-export interface FreshnessWatch {
+export interface FreshnessTracker {
   /** Takes the report of another entry. */
-  onReport(entry: string, report: FreshnessReport): void;
+  onReport(entryId: string, report: FreshnessReport): void;
   /**
    * When the store confirmed to anyone that this copy is the newest, by its clock; undefined
    * where that is not known, or another entry has a newer one.
@@ -55,30 +55,31 @@
   latestConfirmation(): Confirmation | undefined;
 }
 
-interface HeardReport extends FreshnessReport {
-  readonly heardAt: number;
+interface ReceivedReport extends FreshnessReport {
+  readonly receivedAt: number;
 }
 
 /** Reports of entries that have been gone for longer are dropped. */
-const FORGET_MILLISECONDS = 10_000;
+const REPORT_EXPIRY_MILLISECONDS = 10_000;
 
-export function createFreshnessWatch(now: () => number, clock: StoreClock): FreshnessWatch {
-  const reports = new Map<string, HeardReport>();
+export function createFreshnessTracker(now: () => number, clock: StoreClock): FreshnessTracker {
+  const reports = new Map<string, ReceivedReport>();
 
-  function recent(): ReadonlyMap<string, HeardReport> {
-    const from = now() - FORGET_MILLISECONDS;
-    for (const [entry, { heardAt }] of reports) if (heardAt < from) reports.delete(entry);
+  function unexpiredReports(): ReadonlyMap<string, ReceivedReport> {
+    const oldestReceivedAt = now() - REPORT_EXPIRY_MILLISECONDS;
+    for (const [entryId, { receivedAt }] of reports)
+      if (receivedAt < oldestReceivedAt) reports.delete(entryId);
     return reports;
   }
 
   return {
-    onReport(entry, report) {
+    onReport(entryId, report) {
       clock.observe(report.confirmedAt);
-      reports.set(entry, { ...report, heardAt: now() });
+      reports.set(entryId, { ...report, receivedAt: now() });
     },
     confirmedAt({ revision, fingerprint }) {
       let latest: number | undefined;
-      for (const report of recent().values()) {
+      for (const report of unexpiredReports().values()) {
         if (report.fingerprint === fingerprint) {
           latest = Math.max(latest ?? report.confirmedAt, report.confirmedAt);
         } else if (report.revision > revision) return undefined;
@@ -87,8 +88,8 @@
     },
     latestConfirmation() {
       let latest: Confirmation | undefined;
-      for (const [entry, { confirmedAt }] of recent()) {
-        if (confirmedAt > (latest?.confirmedAt ?? -Infinity)) latest = { entry, confirmedAt };
+      for (const [entryId, { confirmedAt }] of unexpiredReports()) {
+        if (confirmedAt > (latest?.confirmedAt ?? -Infinity)) latest = { entryId, confirmedAt };
       }
       return latest;
     },
--- a/packages/catalog/src/index.ts
+++ b/packages/catalog/src/index.ts
@@ -3,7 +3,7 @@
  * revision.
  */
 export { createCatalog } from './catalog.js';
-export type { Catalog, OperatorOrders, ServerList } from './catalog.js';
+export type { Catalog, OperatorState, ServerList } from './catalog.js';
 export { AccessKind, checkAccess, findRoute, pickService } from './find-route.js';
 export type { Access } from './find-route.js';
 export { RequestKind } from './types.js';
@@ -19,7 +19,7 @@
   WeightedService,
 } from './types.js';
 export { followTable } from './follow-table.js';
-export type { FollowOptions, TableFollower } from './follow-table.js';
+export type { FollowTableOptions, TableFollower } from './follow-table.js';
 export { FeedKind, TransactionKind } from './store.js';
 export type {
   Feed,
@@ -30,17 +30,17 @@
   StoreRow,
   TransactionResult,
 } from './store.js';
-export { dropReplaced } from './drop-replaced.js';
-export { LAPSE_MILLISECONDS, retainLapsed } from './retain-lapsed.js';
-export type { LapseInput } from './retain-lapsed.js';
+export { dropReplacedServers } from './drop-replaced-servers.js';
+export { REREGISTRATION_MILLISECONDS, retainExpiredServers } from './retain-expired-servers.js';
+export type { RetainExpiredServersInput } from './retain-expired-servers.js';
 export { createStoreClock } from './store-clock.js';
 export type { StoreClock } from './store-clock.js';
 export { fingerprintOf } from './fingerprint.js';
-export { createFreshnessWatch, decodeFreshnessReport } from './freshness-watch.js';
+export { createFreshnessTracker, decodeFreshnessReport } from './freshness-tracker.js';
 export type {
   Confirmation,
   CopyVersion,
   FreshnessReport,
-  FreshnessWatch,
-} from './freshness-watch.js';
+  FreshnessTracker,
+} from './freshness-tracker.js';
 export { decodeCopy, encodeCopy } from './table-copy.js';
--- a/packages/catalog/src/retain-lapsed.ts
+++ b/packages/catalog/src/retain-expired-servers.ts
@@ -7,29 +7,30 @@
 import type { BackendServer } from './types.js';
 
 /** Servers register again within about two seconds of the store's return. */
-export const LAPSE_MILLISECONDS = 2000;
+export const REREGISTRATION_MILLISECONDS = 2000;
 
-export interface LapseInput {
+export interface RetainExpiredServersInput {
   readonly before: ReadonlyMap<string, BackendServer>;
   readonly listed: ReadonlyMap<string, BackendServer>;
   /** Milliseconds since the store came back from an outage; infinite without one. */
-  readonly sinceReturn: number;
+  readonly sinceRecoveryMilliseconds: number;
 }
 
 /** The servers to use: those listed, and for a while those that may only have lapsed. */
-export function retainLapsed({
+export function retainExpiredServers({
   before,
   listed,
-  sinceReturn,
-}: LapseInput): ReadonlyMap<string, BackendServer> {
-  if (sinceReturn >= LAPSE_MILLISECONDS) return listed;
-  const kept = new Map(listed);
-  const taken = new Set<string>();
-  for (const { host, port } of listed.values()) taken.add(`${host}:${port}`);
+  sinceRecoveryMilliseconds,
+}: RetainExpiredServersInput): ReadonlyMap<string, BackendServer> {
+  if (sinceRecoveryMilliseconds >= REREGISTRATION_MILLISECONDS) return listed;
+  const retained = new Map(listed);
+  const listedAddresses = new Set<string>();
+  for (const { host, port } of listed.values()) listedAddresses.add(`${host}:${port}`);
   for (const [instanceId, server] of before) {
     // An address that another server has now proves that this one is gone.
-    const isReplaced = taken.has(`${server.host}:${server.port}`);
-    if (!listed.has(instanceId) && !server.draining && !isReplaced) kept.set(instanceId, server);
+    const isAddressReused = listedAddresses.has(`${server.host}:${server.port}`);
+    if (!listed.has(instanceId) && !server.draining && !isAddressReused)
+      retained.set(instanceId, server);
   }
-  return kept;
+  return retained;
 }
--- a/packages/catalog/src/store-clock.ts
+++ b/packages/catalog/src/store-clock.ts
@@ -5,32 +5,34 @@
  */
 export interface StoreClock {
   /** Takes note of a moment of the store's clock that has passed. */
-  observe(moment: number): void;
+  observe(storeTime: number): void;
   /** Milliseconds since the moment; infinite before any was observed. */
-  ageMilliseconds(moment: number): number;
+  ageMilliseconds(storeTime: number): number;
 }
 
 /** The shortest way is looked for anew after this long: clocks differ in pace. */
-const WINDOW_MILLISECONDS = 60_000;
+const OFFSET_WINDOW_MILLISECONDS = 60_000;
 
 export function createStoreClock(now: () => number): StoreClock {
   /** Own clock less the store's, where the answer came the shortest way. */
   let offset = Infinity;
-  let formerOffset = Infinity;
-  let windowFrom = now();
+  let previousOffset = Infinity;
+  let windowStartedAt = now();
 
   return {
-    observe(moment) {
-      if (now() - windowFrom > WINDOW_MILLISECONDS) {
-        formerOffset = offset;
+    observe(storeTime) {
+      if (now() - windowStartedAt > OFFSET_WINDOW_MILLISECONDS) {
+        previousOffset = offset;
         offset = Infinity;
-        windowFrom = now();
+        windowStartedAt = now();
       }
-      offset = Math.min(offset, now() - moment);
+      offset = Math.min(offset, now() - storeTime);
     },
-    ageMilliseconds(moment) {
-      const shortest = Math.min(offset, formerOffset);
-      return Number.isFinite(shortest) ? Math.max(0, now() - moment - shortest) : Infinity;
+    ageMilliseconds(storeTime) {
+      const smallestOffset = Math.min(offset, previousOffset);
+      return Number.isFinite(smallestOffset)
+        ? Math.max(0, now() - storeTime - smallestOffset)
+        : Infinity;
     },
   };
 }
--- a/packages/catalog/src/store.ts
+++ b/packages/catalog/src/store.ts
@@ -20,7 +20,7 @@
 /** Rows as the store gave them. */
 export interface StoreAnswer extends RowList {
   /** When it did: milliseconds of its own steady clock. */
-  readonly givenAt: number;
+  readonly answeredAt: number;
 }
 
 export enum FeedKind {
@@ -56,6 +56,6 @@
 /** Rejects with an error when a call gets no usable answer. */
 export interface Store {
   list(table: string, part: string): Promise<StoreAnswer>;
-  feed(table: string, since: number, waitMilliseconds: number): Promise<Feed>;
+  feed(table: string, since: number, longPollMilliseconds: number): Promise<Feed>;
   write(table: string, part: string, writes: readonly RowWrite[]): Promise<TransactionResult>;
 }
--- a/packages/catalog/src/types.ts
+++ b/packages/catalog/src/types.ts
@@ -27,9 +27,9 @@
   /** Longest time a caller is kept waiting for the whole answer. */
   readonly timeoutMilliseconds: number;
   /** Time to the answer, or to the first event, that callers hope for. */
-  readonly objectiveMilliseconds: number;
+  readonly latencyObjectiveMilliseconds: number;
   /** Longest pause between events that callers hope for; 0 where answers have no events. */
-  readonly gapMilliseconds: number;
+  readonly eventGapObjectiveMilliseconds: number;
   /** 0 is the most urgent. */
   readonly priority: number;
   readonly targets: readonly WeightedService[];
@@ -45,7 +45,7 @@
 export interface EngineProfile {
   /** Requests that write at the same time. */
   readonly slots: number;
-  readonly readTokensPerSecond: number;
+  readonly prefillTokensPerSecond: number;
   /** Steps that one pass executes. */
   readonly stepsPerPass: number;
   /** Sets of layers that have experts of their own. */
--- a/packages/direct-entry/src/adapters.ts
+++ b/packages/direct-entry/src/adapters.ts
@@ -2,7 +2,7 @@
  * What a platform brings: how its store is called, how its tables read, and how its callers and
  * backend servers speak.
  */
-import type { OperatorOrders, ServerList, Store, StoreRow } from '@lapisbridge/catalog';
+import type { OperatorState, ServerList, Store, StoreRow } from '@lapisbridge/catalog';
 import type { CallerProtocol } from '@lapisbridge/forwarding';
 import type { Address } from '@lapisbridge/json-call';
 
@@ -14,7 +14,7 @@
   readonly operatorsTable: string;
   readonly serversTable: string;
   /** Rows that cannot be read are left out. */
-  decodeOperators(rows: TableRows, revision: number): OperatorOrders;
+  decodeOperators(rows: TableRows, revision: number): OperatorState;
   decodeServers(rows: TableRows, revision: number): ServerList;
 }
 
--- a/packages/direct-entry/src/copy-freshness.ts
+++ b/packages/direct-entry/src/copy-freshness.ts
@@ -2,12 +2,12 @@
  * How fresh an entry's copies of the store's tables are: what the store has confirmed to the entry
  * itself and to others, and what the entry reports of it.
  */
-import { createFreshnessWatch, createStoreClock } from '@lapisbridge/catalog';
+import { createFreshnessTracker, createStoreClock } from '@lapisbridge/catalog';
 import type {
   Confirmation,
   CopyVersion,
   FreshnessReport,
-  FreshnessWatch,
+  FreshnessTracker,
   StoreClock,
   TableFollower,
 } from '@lapisbridge/catalog';
@@ -41,9 +41,9 @@
   const clock = createStoreClock(now);
   /** Empty before the first copy. */
   const fingerprints = { [FollowedTable.Operators]: '', [FollowedTable.Servers]: '' };
-  const watches: Readonly<Record<FollowedTable, FreshnessWatch>> = {
-    [FollowedTable.Operators]: createFreshnessWatch(now, clock),
-    [FollowedTable.Servers]: createFreshnessWatch(now, clock),
+  const watches: Readonly<Record<FollowedTable, FreshnessTracker>> = {
+    [FollowedTable.Operators]: createFreshnessTracker(now, clock),
+    [FollowedTable.Servers]: createFreshnessTracker(now, clock),
   };
 
   /** Revision 0 before the first copy. */
@@ -65,7 +65,7 @@
     const own = follower(table).confirmation();
     if (own === undefined) return Infinity;
     // A clock that was set back, or runs at another pace, cannot make an answer older than its call.
-    return Math.min(ageOf(own.givenAt), now() - own.askedAt);
+    return Math.min(ageOf(own.answeredAt), now() - own.requestedAt);
   }
 
   return {
@@ -81,7 +81,7 @@
     ownAgeMilliseconds,
     ageMilliseconds: (table) => Math.min(ownAgeMilliseconds(table), ageOf(toOthers(table))),
     reportOf(table) {
-      const own = follower(table).confirmation()?.givenAt;
+      const own = follower(table).confirmation()?.answeredAt;
       const others = toOthers(table);
       if (own === undefined && others === undefined) return undefined;
       const confirmedAt = Math.max(own ?? -Infinity, others ?? -Infinity);
--- a/packages/direct-entry/src/knowledge.ts
+++ b/packages/direct-entry/src/knowledge.ts
@@ -5,11 +5,11 @@
  */
 import {
   decodeFreshnessReport,
-  dropReplaced,
+  dropReplacedServers,
   fingerprintOf,
   followTable,
-  LAPSE_MILLISECONDS,
-  retainLapsed,
+  REREGISTRATION_MILLISECONDS,
+  retainExpiredServers,
 } from '@lapisbridge/catalog';
 import type {
   Catalog,
@@ -150,17 +150,17 @@
     const toldFor = ageOf(freshness.latestConfirmation(FollowedTable.Servers)?.confirmedAt);
     if (Math.min(now() - serversTakenAt, toldFor) <= OUTAGE_MILLISECONDS) return;
     returnedAt = now();
-    setTimeout(dropLapsed, LAPSE_MILLISECONDS);
+    setTimeout(dropLapsed, REREGISTRATION_MILLISECONDS);
   }
 
   function takeServers(rows: TableRows, revision: number): void {
     onServersConfirmed();
     serversTakenAt = now();
     const listed = tables.decodeServers(rows, revision);
-    const servers = retainLapsed({
+    const servers = retainExpiredServers({
       before: catalog.servers().servers,
-      listed: dropReplaced(listed.servers),
-      sinceReturn: now() - returnedAt,
+      listed: dropReplacedServers(listed.servers),
+      sinceRecoveryMilliseconds: now() - returnedAt,
     });
     catalog.replaceServers({ revision, servers });
     const fingerprint = fingerprintOfServers(listed);
@@ -169,12 +169,12 @@
 
   function takeOperators(rows: TableRows, revision: number): void {
     const orders = tables.decodeOperators(rows, revision);
-    catalog.replaceOperators(orders);
+    catalog.replaceOperatorState(orders);
     const fingerprint = fingerprintOfRows(rows);
     if (!freshness.replaceFingerprint(FollowedTable.Operators, fingerprint)) return;
     options.onNews();
     logger.info('configuration in force', {
-      version: catalog.operators().configuration?.version,
+      version: catalog.operatorState().configuration?.version,
       revision,
       drainedZones: [...orders.drainedZones],
       source: copiedFrom ?? 'store',
@@ -217,7 +217,7 @@
       role: options.role(),
       age: wholeOf(own.ageMilliseconds),
       ownAge: wholeOf(freshness.ownAgeMilliseconds(table)),
-      confirmedBy: freshness.latestConfirmation(table)?.entry,
+      confirmedBy: freshness.latestConfirmation(table)?.entryId,
     });
     return delegated;
   }
@@ -228,19 +228,19 @@
     if (copy !== undefined) takeServers(copy.rows, copy.revision);
   }
 
-  function longestRetryMilliseconds(): number {
+  function maximumRetryMilliseconds(): number {
     return options.role() === ReadingRole.Follower
       ? FOLLOWER_RETRY_MILLISECONDS
       : DELEGATE_RETRY_MILLISECONDS;
   }
 
-  const shared = { store: options.store, part: '', random, clock, now, longestRetryMilliseconds };
+  const shared = { store: options.store, part: '', random, clock, now, maximumRetryMilliseconds };
   const followers: Readonly<Record<FollowedTable, TableFollower>> = {
     [FollowedTable.Operators]: followTable({
       ...shared,
       table: tables.operatorsTable,
       delegatedMilliseconds: () => decideReading(FollowedTable.Operators),
-      waitMilliseconds: () => pace().operatorsWait,
+      longPollMilliseconds: () => pace().operatorsWait,
       pauseMilliseconds: () => pace().operatorsPause,
       onRows: takeOperators,
       onStoreResult: (succeeded, reason) =>
@@ -250,7 +250,7 @@
       ...shared,
       table: tables.serversTable,
       delegatedMilliseconds: () => decideReading(FollowedTable.Servers),
-      waitMilliseconds: () => pace().serversWait,
+      longPollMilliseconds: () => pace().serversWait,
       pauseMilliseconds: () => pace().serversPause,
       onRows: takeServers,
       onStoreResult: (succeeded, reason) => onStoreResult(FollowedTable.Servers, succeeded, reason),
@@ -276,7 +276,7 @@
       const { list, fingerprint, confirmedAt } = fetched;
       ownReading[table].ageMilliseconds = freshness.ageMilliseconds(table);
       copiedFrom = host;
-      const isAdopted = followers[table].adopt(list);
+      const isAdopted = followers[table].replaceIfNewer(list);
       copiedFrom = undefined;
       if (confirmedAt !== undefined) {
         const report = { revision: list.revision, fingerprint, confirmedAt };
@@ -314,7 +314,7 @@
   function catchUp(table: FollowedTable, from: InstanceName, report: FreshnessReport): void {
     const own = versionOf(table);
     const isSame = report.fingerprint === own.fingerprint;
-    if (isSame) followers[table].advance(report.revision);
+    if (isSame) followers[table].advanceRevision(report.revision);
     if (isSame || report.revision <= own.revision) return;
     behindSince[table] ??= now();
     const behindFor = now() - (behindSince[table] ?? 0);
--- a/packages/direct-entry/src/played-knowledge.ts
+++ b/packages/direct-entry/src/played-knowledge.ts
@@ -156,7 +156,7 @@
       list: (table): Promise<StoreAnswer> =>
         callOf(instanceId, STORE_MILLISECONDS, async () => {
           await reachStore(instanceId);
-          const list = { rows: rowsOf(table), revision, givenAt: fleet.now() };
+          const list = { rows: rowsOf(table), revision, answeredAt: fleet.now() };
           await sleep(STORE_HOP_MILLISECONDS);
           return list;
         }),
@@ -167,7 +167,7 @@
           if (!isFollowed) await sleep(wait);
           else if (revision === since) await waitForChange(wait);
           const rows = revision === since ? [] : rowsOf(table);
-          const feed: Feed = { kind: FeedKind.Changes, rows, revision, givenAt: fleet.now() };
+          const feed: Feed = { kind: FeedKind.Changes, rows, revision, answeredAt: fleet.now() };
           await sleep(STORE_HOP_MILLISECONDS);
           return feed;
         }),
@@ -221,7 +221,7 @@
     const catalog = createCatalog();
     const times = new Map<number, number>();
     catalog.onChange(() => {
-      const known = catalog.operators().configuration?.version;
+      const known = catalog.operatorState().configuration?.version;
       if (known !== undefined && !times.has(known)) times.set(known, fleet.now());
     });
     catalogs.set(name.instanceId, catalog);
--- a/packages/direct-entry/src/start-entry.ts
+++ b/packages/direct-entry/src/start-entry.ts
@@ -208,7 +208,7 @@
   startMetricsListener(metrics, settings.host, settings.metricsPort, (error) => {
     logger.warn('metrics not served', { reason: error.message });
   });
-  const isReady = (): boolean => !isStopping && catalog.operators().configuration !== undefined;
+  const isReady = (): boolean => !isStopping && catalog.operatorState().configuration !== undefined;
   try {
     const { readinessAddress } = settings;
     if (readinessAddress !== undefined) await serveReadiness(readinessAddress, isReady);
--- a/packages/direct-entry/src/start-fleet.ts
+++ b/packages/direct-entry/src/start-fleet.ts
@@ -45,7 +45,7 @@
 
 function profilesOf(catalog: Catalog): Record<string, GroupProfile> {
   const known: Record<string, GroupProfile> = {};
-  for (const { name, engine } of catalog.operators().configuration?.services.values() ?? []) {
+  for (const { name, engine } of catalog.operatorState().configuration?.services.values() ?? []) {
     if (engine === undefined || engine.sets === 0) continue;
     const { sets, experts, placesPerRank, newPerRank } = engine;
     known[name] = { sets, experts, placesPerRank, newPerRank };
--- a/packages/forwarding/src/backoff.test.ts
+++ b/packages/forwarding/src/backoff.test.ts
@@ -110,7 +110,7 @@
   // Guards against callers that are told to come back later than they could be served.
   fixture = await startFixture({
     servers: { one: changing(askForBackoff(0.3), answerWith('answer')) },
-    route: { kind: RequestKind.AtMostOnce, objectiveMilliseconds: 60_000 },
+    route: { kind: RequestKind.AtMostOnce, latencyObjectiveMilliseconds: 60_000 },
   });
   await send('first');
   const { status, milliseconds } = await send('second');
--- a/packages/forwarding/src/caller-listener.ts
+++ b/packages/forwarding/src/caller-listener.ts
@@ -104,7 +104,7 @@
       subject: request.requestId ?? 'none',
       choice: String(status),
       reason,
-      facts: { configurationVersion: context.catalog.operators().configuration?.version },
+      facts: { configurationVersion: context.catalog.operatorState().configuration?.version },
     });
     const headers = context.protocol.encodeOwnAnswer(request.requestId, retryAfter);
     answer.send(status, headers, Buffer.alloc(0));
@@ -124,7 +124,7 @@
     const answer = createCallerAnswer(response);
     const arrivedAt = context.now();
     const request = context.protocol.decodeRequest(incoming);
-    const { limits } = context.catalog.operators().configuration ?? {};
+    const { limits } = context.catalog.operatorState().configuration ?? {};
     const maximumBody = limits?.maximumBodyBytes ?? DEFAULT_BODY_BYTES;
     const body = await readBody(incoming, maximumBody);
     if (answer.isOver) return;
@@ -134,7 +134,7 @@
       return;
     }
     // A newer one may have come into force while the body was read.
-    const { configuration } = context.catalog.operators();
+    const { configuration } = context.catalog.operatorState();
     const admission = planAdmission({
       configuration,
       isOutdated: options.isOutdated(),
@@ -196,7 +196,7 @@
     CHECK_MILLISECONDS;
 
   function applyLimits(): void {
-    const limits = context.catalog.operators().configuration?.limits;
+    const limits = context.catalog.operatorState().configuration?.limits;
     server.headersTimeout = limits?.headerTimeoutMilliseconds ?? DEFAULT_HEADER_MILLISECONDS;
     server.keepAliveTimeout =
       (limits?.idleTimeoutMilliseconds ?? DEFAULT_IDLE_MILLISECONDS) * IDLE_FACTOR;
--- a/packages/forwarding/src/choose-server.ts
+++ b/packages/forwarding/src/choose-server.ts
@@ -18,7 +18,7 @@
 ): { views: ServerView[]; byId: ReadonlyMap<string, BackendServer>; leaving: number } {
   const { coldShare } = context;
   const profile = accepted.configuration.services.get(accepted.service);
-  const { drainedZones } = context.catalog.operators();
+  const { drainedZones } = context.catalog.operatorState();
   const byId = context.catalog.servers().servers;
   const views: ServerView[] = [];
   const coldRate = profile?.coldRequestsPerSecond ?? 0;
@@ -84,7 +84,8 @@
     views,
     ownZone: context.ownZone,
     excluded: progress.tried,
-    readTokensPerMillisecond: engine === undefined ? NO_PROMPTS : engine.readTokensPerSecond / 1000,
+    readTokensPerMillisecond:
+      engine === undefined ? NO_PROMPTS : engine.prefillTokensPerSecond / 1000,
     unseenArrivals: guessUnseen(context, accepted.service, views),
     fits,
     random: context.random,
--- a/packages/forwarding/src/forwarding-fixture.ts
+++ b/packages/forwarding/src/forwarding-fixture.ts
@@ -72,8 +72,8 @@
   prefix: '/',
   kind: RequestKind.AtMostOnce,
   timeoutMilliseconds: 3000,
-  objectiveMilliseconds: 400,
-  gapMilliseconds: 0,
+  latencyObjectiveMilliseconds: 400,
+  eventGapObjectiveMilliseconds: 0,
   priority: 1,
   targets: [{ service: SERVICE, weight: 1 }],
   maximumAttempts: 2,
@@ -168,7 +168,7 @@
   const catalog = createCatalog();
   catalog.replaceServers({ revision: 1, servers });
   if (options.withConfiguration !== false) {
-    catalog.replaceOperators({
+    catalog.replaceOperatorState({
       revision: 1,
       configuration: configurationWith({ ...ROUTE, ...options.route }, options.coldRate ?? 0),
       drainedZones: new Set(),
--- a/packages/forwarding/src/forwarding.test.ts
+++ b/packages/forwarding/src/forwarding.test.ts
@@ -178,7 +178,7 @@
     const hanging: Script = () => undefined;
     await start({
       servers: { one: hanging, two: answerWith('text') },
-      route: { timeoutMilliseconds: 200, objectiveMilliseconds: 100 },
+      route: { timeoutMilliseconds: 200, latencyObjectiveMilliseconds: 100 },
     });
     expect((await send()).status).toBe(504);
     expect((await send()).status).toBe(200);
--- a/packages/forwarding/src/late-answer.ts
+++ b/packages/forwarding/src/late-answer.ts
@@ -7,6 +7,6 @@
 const OBJECTIVES = 1.5;
 
 /** Milliseconds after which an answer is late. */
-export function lateMilliseconds({ objectiveMilliseconds }: Route): number {
-  return objectiveMilliseconds * OBJECTIVES;
+export function lateMilliseconds({ latencyObjectiveMilliseconds }: Route): number {
+  return latencyObjectiveMilliseconds * OBJECTIVES;
 }
--- a/packages/forwarding/src/late-body.test.ts
+++ b/packages/forwarding/src/late-body.test.ts
@@ -16,7 +16,7 @@
     // Guards against an entry that shows a new configuration and then decides on the former one.
     fixture = await startFixture({ servers: { one: answerWith('whole') } });
     const { catalog, port, arrivals } = fixture;
-    const { configuration } = catalog.operators();
+    const { configuration } = catalog.operatorState();
     if (configuration === undefined) throw new Error('the fixture has no configuration');
     const status = await new Promise<number | undefined>((resolve, reject) => {
       const outgoing = request(
@@ -29,7 +29,7 @@
       outgoing.on('error', reject);
       outgoing.write('first half, ');
       setTimeout(() => {
-        catalog.replaceOperators({
+        catalog.replaceOperatorState({
           revision: 2,
           configuration: { ...configuration, version: 2, routes: [] },
           drainedZones: new Set(),
--- a/packages/forwarding/src/note-outcome.test.ts
+++ b/packages/forwarding/src/note-outcome.test.ts
@@ -45,7 +45,7 @@
 }
 
 /** Hopes that are met on the slowest machine. */
-const PATIENT = { objectiveMilliseconds: 60_000, gapMilliseconds: 60_000 };
+const PATIENT = { latencyObjectiveMilliseconds: 60_000, eventGapObjectiveMilliseconds: 60_000 };
 const STREAM = { kind: RequestKind.Streaming, resumable: true, ...PATIENT };
 
 /** Takes the request and never answers. */
@@ -72,7 +72,7 @@
   const late: Script = (incoming, response) => {
     setTimeout(() => answerWith('booked')(incoming, response), 60);
   };
-  const route = { objectiveMilliseconds: 20 };
+  const route = { latencyObjectiveMilliseconds: 20 };
   const ends = await endsOf({ servers: { one: late }, route });
   expect(ends).toMatchObject([{ kind: EndKind.Answer, facts: { isOnTime: false } }]);
 });
--- a/packages/forwarding/src/plan-priority.ts
+++ b/packages/forwarding/src/plan-priority.ts
@@ -38,7 +38,7 @@
 export function urgencyOf(waiting: Waiting): Urgency {
   if (waiting.hasBegun) return Urgency.Begun;
   if (waiting.isMoved) return Urgency.Moved;
-  const latest = waiting.route.objectiveMilliseconds * (1 - ANSWER_SHARE);
+  const latest = waiting.route.latencyObjectiveMilliseconds * (1 - ANSWER_SHARE);
   const isFresh = !waiting.isRetry && waiting.idleMilliseconds <= latest;
   return isFresh ? Urgency.Fresh : Urgency.Late;
 }
--- a/packages/forwarding/src/plan-wait.test.ts
+++ b/packages/forwarding/src/plan-wait.test.ts
@@ -59,8 +59,8 @@
 });
 
 it('goes by the longest of the times for which callers stay', () => {
-  expect(callerPatience({ ...STREAM_ROUTE, objectiveMilliseconds: 900 })).toBe(3600);
-  expect(callerPatience({ ...STREAM_ROUTE, gapMilliseconds: 400 })).toBe(3200);
+  expect(callerPatience({ ...STREAM_ROUTE, latencyObjectiveMilliseconds: 900 })).toBe(3600);
+  expect(callerPatience({ ...STREAM_ROUTE, eventGapObjectiveMilliseconds: 400 })).toBe(3200);
 });
 
 it('waits for room at a server that comes soon, and refuses where it comes late', () => {
--- a/packages/forwarding/src/plan-wait.ts
+++ b/packages/forwarding/src/plan-wait.ts
@@ -28,8 +28,8 @@
 export function callerPatience(route: Route): number {
   return Math.max(
     PATIENCE_MILLISECONDS,
-    PATIENCE_OBJECTIVES * route.objectiveMilliseconds,
-    PATIENCE_GAPS * route.gapMilliseconds,
+    PATIENCE_OBJECTIVES * route.latencyObjectiveMilliseconds,
+    PATIENCE_GAPS * route.eventGapObjectiveMilliseconds,
   );
 }
 
--- a/packages/forwarding/src/play-outage.ts
+++ b/packages/forwarding/src/play-outage.ts
@@ -180,7 +180,7 @@
       if (!caller.hasEvent && caller.left <= caller.work) {
         caller.hasEvent = true;
         const waited = now - caller.firstAt;
-        caller.isOnTime = waited <= STREAM_ROUTE.objectiveMilliseconds && !isSlow;
+        caller.isOnTime = waited <= STREAM_ROUTE.latencyObjectiveMilliseconds && !isSlow;
       }
       if (caller.left <= 0) {
         finish(caller, caller.isOnTime ? PlayedEnd.InTime : PlayedEnd.Late);
--- a/packages/forwarding/src/rate-limit.test.ts
+++ b/packages/forwarding/src/rate-limit.test.ts
@@ -41,7 +41,7 @@
     const isStream = kind === RequestKind.Streaming;
     fixture = await startFixture({
       servers: { limited: answerLimited(1, isStream), other: answerLimited(1000, isStream) },
-      route: { kind, objectiveMilliseconds: 60_000 },
+      route: { kind, latencyObjectiveMilliseconds: 60_000 },
     });
     const startedAt = performance.now();
     for (let index = 0; index < 30; index += 1) {
@@ -75,7 +75,7 @@
   // Guards against callers that are told to come back a second later than they could be served.
   fixture = await startFixture({
     servers: { one: answerLimited(1.9, false) },
-    route: { kind: RequestKind.AtMostOnce, objectiveMilliseconds: 60_000 },
+    route: { kind: RequestKind.AtMostOnce, latencyObjectiveMilliseconds: 60_000 },
   });
   const statuses: number[] = [];
   for (let index = 0; index < 4; index += 1) statuses.push((await send(`id-${index}`)).status);
--- a/packages/forwarding/src/serve-plain.ts
+++ b/packages/forwarding/src/serve-plain.ts
@@ -176,7 +176,7 @@
       reason: 'passed on',
       facts: {
         status: outcome.head.status,
-        isOnTime: waited <= route.objectiveMilliseconds,
+        isOnTime: waited <= route.latencyObjectiveMilliseconds,
         sends: progress.sends,
       },
     });
--- a/packages/forwarding/src/stalled-process.test.ts
+++ b/packages/forwarding/src/stalled-process.test.ts
@@ -21,7 +21,7 @@
   // Guards against callers that are refused, with servers free, whenever an entry stalls.
   fixture = await startFixture({
     servers: { one: answerWith('whole') },
-    route: { kind: RequestKind.Idempotent, objectiveMilliseconds: 60_000 },
+    route: { kind: RequestKind.Idempotent, latencyObjectiveMilliseconds: 60_000 },
   });
   const { logger } = fixture;
   const { decision } = logger;
--- a/packages/forwarding/src/stream-record.ts
+++ b/packages/forwarding/src/stream-record.ts
@@ -67,8 +67,8 @@
     idleMilliseconds: () => (isBackedUp ? 0 : context.now() - lastEventAt),
     isOnTime: () =>
       firstEventMilliseconds !== undefined &&
-      firstEventMilliseconds <= route.objectiveMilliseconds &&
-      longestPauseMilliseconds <= route.gapMilliseconds,
+      firstEventMilliseconds <= route.latencyObjectiveMilliseconds &&
+      longestPauseMilliseconds <= route.eventGapObjectiveMilliseconds,
     facts: () => ({
       lastEventId,
       firstEvent: roundedOrNone(firstEventMilliseconds),
--- a/packages/group-leader/src/group-leader.test.ts
+++ b/packages/group-leader/src/group-leader.test.ts
@@ -20,7 +20,7 @@
   let revision = 10;
   return {
     isLosing: false,
-    list: async () => ({ rows: row === undefined ? [] : [row], revision, givenAt: 0 }),
+    list: async () => ({ rows: row === undefined ? [] : [row], revision, answeredAt: 0 }),
     feed: async () => {
       throw new Error('not used');
     },
--- a/packages/group-sidecar/src/played-group.ts
+++ b/packages/group-sidecar/src/played-group.ts
@@ -106,7 +106,7 @@
   return {
     async list() {
       await sleep(STORE_MILLISECONDS);
-      return { rows: [...rows.values()], revision, givenAt: 0 };
+      return { rows: [...rows.values()], revision, answeredAt: 0 };
     },
     feed: () => Promise.reject(new Error('not used')),
     async write(table, part, writes) {
