--- a/packages/catalog/src/catalog.test.ts
+++ b/packages/catalog/src/catalog.test.ts
@@ -40,7 +40,7 @@
 
 describe('a catalog', () => {
   it('never goes back to an older configuration', () => {
-    // A peer that lags, or a store that answers from behind, brings back a key that was removed.
+    // Guards against a lagging peer, or a stale read of the store, that restores a removed API key.
     const catalog = createCatalog();
     const drainedZones = new Set<string>();
     catalog.replaceOperatorState({ revision: 5, configuration: configuration(7), drainedZones });
@@ -51,7 +51,7 @@
     expect(catalog.operatorState().configuration?.version).toBe(7);
   });
 
-  it('keeps its configuration when the row turns unreadable', () => {
+  it('keeps its configuration when the row becomes invalid', () => {
     const catalog = createCatalog();
     const drainedZones = new Set<string>();
     catalog.replaceOperatorState({ revision: 5, configuration: configuration(7), drainedZones });
@@ -60,15 +60,15 @@
   });
 });
 
-describe('servers whose rows lapsed with the store', () => {
+describe('servers whose rows expired during an outage of the store', () => {
   const before = new Map([
     ['one', server('one', 1)],
     ['two', server('two', 2)],
   ]);
 
-  it('are kept until they had time to register again', () => {
-    // The store was away for longer than a row lives. Its first list lacks servers that stand
-    // idle; dropping them would refuse callers for two seconds.
+  it('are kept until they have had time to register again', () => {
+    // Guards against rejecting requests for two seconds after an outage longer than the lifetime of
+    // a row: the first list lacks servers that are idle.
     const listed = new Map([['one', server('one', 1)]]);
     expect([
       ...retainExpiredServers({ before, listed, sinceRecoveryMilliseconds: 100 }).keys(),
@@ -81,7 +81,7 @@
     expect([...after.keys()]).toEqual(['one']);
   });
 
-  it('are gone when they had begun to leave, or another has their address', () => {
+  it('are dropped if they were draining or another server has their address', () => {
     const leaving = new Map([['two', { ...server('two', 2), draining: true }]]);
     expect(
       retainExpiredServers({ before: leaving, listed: new Map(), sinceRecoveryMilliseconds: 0 })
@@ -99,7 +99,7 @@
 
 const noAnswer = (): void => undefined;
 
-/** A store that gives prepared answers, one after the other. */
+/** A store that returns prepared responses, one after the other. */
 function scriptedStore(lists: RowList[], feeds: (FeedScript | Error)[]): Store {
   return {
     list: async () => ({ ...(lists.shift() ?? { rows: [], revision: 0 }), answeredAt: 0 }),
@@ -157,9 +157,9 @@
     expect(seen).toEqual(['2:a', '3:a,b', '4:b']);
   });
 
-  it('reads all again when the history is gone', async () => {
-    // The store drops its history in the gap in which a server left. Going on from the newest
-    // revision would keep that server for ever.
+  it('lists the table again when the change history is gone', async () => {
+    // Guards against keeping a server forever because its removal was in the history that the store
+    // has dropped, and the follower continued from the newest revision.
     const seen = await followScript(
       [
         { rows: [row('a', 'x', 1), row('b', 'x', 2)], revision: 2 },
@@ -170,7 +170,7 @@
     expect(seen).toEqual(['2:a,b', '9:b']);
   });
 
-  it('does not take a list from behind what it knows', async () => {
+  it('rejects a list that is older than its copy', async () => {
     const seen = await followScript(
       [
         { rows: [row('a', 'x', 5)], revision: 5 },
@@ -182,7 +182,7 @@
     expect(seen).toEqual(['5:a', '6:a']);
   });
 
-  it('goes on after calls that fail', async () => {
+  it('continues after a failed call', async () => {
     const seen = await followScript(
       [{ rows: [row('a', 'x', 1)], revision: 1 }],
       [new Error('no answer'), { kind: FeedKind.Changes, rows: [row('b', 'y', 2)], revision: 2 }],
@@ -192,13 +192,13 @@
 });
 
 describe('a copy for another entry', () => {
-  it('comes back as it was', () => {
+  it('is unchanged by encoding and decoding', () => {
     const rows = new Map([['a', row('a', 'bytes', 4)]]);
     const copy = decodeCopy(JSON.parse(JSON.stringify(encodeCopy(rows, 7))), 'table', '');
     expect(copy).toEqual({ rows: [row('a', 'bytes', 4)], revision: 7 });
   });
 
-  it('that is malformed is refused', () => {
+  it('is rejected if it is malformed', () => {
     expect(decodeCopy({ revision: 'x' }, 'table', '')).toBeUndefined();
     expect(decodeCopy({ revision: 1, rows: [{ key: 3 }] }, 'table', '')).toBeUndefined();
   });
--- a/packages/catalog/src/catalog.ts
+++ b/packages/catalog/src/catalog.ts
@@ -1,29 +1,39 @@
 /**
- * The catalog of one process. Every table in it carries the revision as of which it is
- * complete. Revisions come from the store's one counter, so two processes can compare theirs,
- * and knowledge only ever moves forward: a late answer, a peer that lags or a store that reads
- * from behind would otherwise bring back a removed key or a backend server that has left.
+ * The catalog of one process: operator state and the list of backend servers, each complete as of
+ * a store revision. Revisions come from a single counter in the store, so processes can compare
+ * them. The catalog rejects older revisions and keeps a newer configuration: a late response, a
+ * lagging peer or a stale read from the store would otherwise restore a removed API key or a
+ * backend server that has left.
  */
 import type { BackendServer, Configuration } from './types.js';
 
+/** Configuration and drained availability zones, as operators set them. */
 export interface OperatorState {
   readonly revision: number;
+  /** Undefined until a valid configuration has been read. */
   readonly configuration: Configuration | undefined;
   readonly drainedZones: ReadonlySet<string>;
 }
 
+/** The registered backend servers. */
 export interface ServerList {
   readonly revision: number;
+  /** By instance id. */
   readonly servers: ReadonlyMap<string, BackendServer>;
 }
 
+/** Holds the newest state that this process has seen. */
 export interface Catalog {
   operatorState(): OperatorState;
   servers(): ServerList;
-  /** Takes newer operators' orders; false when they are not newer. */
+  /**
+   * Replaces the operator state; returns false if its revision is older. A configuration that is
+   * missing or has a lower version does not replace the current one.
+   */
   replaceOperatorState(next: OperatorState): boolean;
+  /** Replaces the server list; returns false if its revision is older. */
   replaceServers(list: ServerList): boolean;
-  /** Called after each change. */
+  /** Registers a listener that is called after each replacement. */
   onChange(listener: () => void): void;
 }
 
--- a/packages/catalog/src/drop-replaced-servers.test.ts
+++ b/packages/catalog/src/drop-replaced-servers.test.ts
@@ -22,13 +22,13 @@
 }
 
 it('keeps the server that started last at an address', () => {
-  // All servers restart after a loss of power, and their former rows are listed for seconds yet.
-  // A caller whose request goes to two former ones is refused although every server is idle.
+  // Guards against refusals after a power loss: all servers restart, and their old rows stay listed
+  // for seconds. A request that is sent to two old instances is refused although all are idle.
   expect(kept(server('new', 1, 2000), server('former', 1, 1000))).toEqual(['new']);
   expect(kept(server('former', 1, 1000), server('new', 1, 2000))).toEqual(['new']);
 });
 
-it('keeps servers at other addresses, and those that do not say when they started', () => {
+it('keeps servers at other addresses, and those without a start time', () => {
   const listed = [server('one', 1, 2000), server('two', 2, 1000), server('silent', 1, undefined)];
   expect(kept(...listed)).toEqual(['one', 'two', 'silent']);
 });
--- a/packages/catalog/src/drop-replaced-servers.ts
+++ b/packages/catalog/src/drop-replaced-servers.ts
@@ -1,12 +1,12 @@
 /**
- * Backend servers whose address a later one has taken. After a loss of power every server starts
- * anew under another id, and the rows of the former ones stay listed for some heartbeats. A
- * request that is sent to a former one is refused by whoever has its address now, which spends
- * the retry budget just when callers come back: 32 of them were refused so in one such moment.
+ * Drops backend servers whose address belongs to a server that started later. After a power loss
+ * all servers restart with new instance ids, while their old rows stay listed for several
+ * heartbeats. A request sent to an old instance is refused by the new one at that address, which
+ * uses up the retry budget just when callers reconnect: 32 requests were refused in one such case.
  */
 import type { BackendServer } from './types.js';
 
-/** The servers to use: of several at one address, the one that started last. */
+/** Returns the servers without those that a later one at the same address has replaced. */
 export function dropReplacedServers(
   listed: ReadonlyMap<string, BackendServer>,
 ): ReadonlyMap<string, BackendServer> {
@@ -23,7 +23,7 @@
   const kept = new Map<string, BackendServer>();
   for (const [instanceId, server] of listed) {
     const { host, port, startedAt } = server;
-    // One that does not say when it started may be the later one.
+    // A server that does not state its start time may be the later one.
     const isReplaced =
       startedAt !== undefined && startedAt < (latestStartByAddress.get(`${host}:${port}`) ?? 0);
     if (!isReplaced) kept.set(instanceId, server);
--- a/packages/catalog/src/find-route.ts
+++ b/packages/catalog/src/find-route.ts
@@ -1,10 +1,11 @@
 /**
- * Finds the route of a request and the account behind its key. Pure: one configuration in, one
- * decision out, so that a request is decided on a single version.
+ * Finds the route of a request, the account of its API key and the service to use. The functions
+ * are pure and take the configuration as an argument, so that all decisions on a request use the
+ * same version.
  */
 import type { ClientAccount, Configuration, Route } from './types.js';
 
-/** The route of this host with the longest prefix that begins the path. */
+/** Returns the host's route with the longest prefix that matches the path, if any. */
 export function findRoute(
   configuration: Configuration,
   host: string,
@@ -18,15 +19,18 @@
   return best;
 }
 
+/** Outcome of an access check. */
 export enum AccessKind {
   Granted = 'granted',
   UnknownKey = 'unknownKey',
 }
 
+/** The account is undefined on public routes and in deployments without keys. */
 export type Access =
   | { readonly kind: AccessKind.Granted; readonly account: ClientAccount | undefined }
   | { readonly kind: AccessKind.UnknownKey };
 
+/** Checks the API key of a request; public routes accept any key or none. */
 export function checkAccess(
   configuration: Configuration,
   route: Route,
@@ -39,7 +43,7 @@
   return { kind: AccessKind.Granted, account };
 }
 
-/** Picks a service in proportion to the route's weights; `share` is uniform in [0, 1). */
+/** Picks a service in proportion to the route's weights; `sample` is uniform in [0, 1). */
 export function pickService(route: Route, sample: number): string {
   let totalWeight = 0;
   for (const { weight } of route.targets) totalWeight += weight;
--- a/packages/catalog/src/follow-table.test.ts
+++ b/packages/catalog/src/follow-table.test.ts
@@ -11,14 +11,14 @@
   return { table: 'table', part: '', key, value: Buffer.from(key), revision };
 }
 
-/** A follower with a first copy of revision 1, whose calls for changes are answered by hand. */
+/** Starts a follower with a copy at revision 1; the test answers its calls for changes. */
 async function startFollowing(): Promise<{
   readonly follower: TableFollower;
-  /** Of the process; the store's own is the same in these tests. */
+  /** Clock of the process; the store's clock shows the same time in these tests. */
   readonly time: { now: number };
   readonly clock: StoreClock;
   readonly keys: () => string[];
-  /** Answers the call for changes as of a moment. */
+  /** Answers the pending call for changes, as of a time of the store's clock. */
   answer(list: RowList, answeredAt: number): Promise<void>;
 }> {
   const time = { now: 0 };
@@ -63,16 +63,16 @@
   };
 }
 
-describe('an answer of the store that comes after a copy of another instance', () => {
-  it('still brings what is newer than the copy', async () => {
-    // Guards against a confirmed change that an entry drops and then takes for known.
+describe('a response of the store that arrives after a copy from another instance', () => {
+  it('still applies changes that are newer than the copy', async () => {
+    // Guards against losing a change: the entry drops it but counts its revision as applied.
     const { follower, keys, answer } = await startFollowing();
     follower.replaceIfNewer({ rows: [row('first', 1), row('second', 2)], revision: 2 });
     await answer({ rows: [row('second', 2), row('third', 3)], revision: 3 }, 0);
     expect(keys()).toEqual(['first', 'second', 'third']);
   });
 
-  it('does not confirm a copy that is newer than the answer', async () => {
+  it('does not confirm a copy that is newer than the response', async () => {
     const { follower, time, answer } = await startFollowing();
     follower.replaceIfNewer({ rows: [row('first', 1), row('third', 3)], revision: 3 });
     time.now = 500;
@@ -81,9 +81,9 @@
   });
 });
 
-describe('an answer of the store that is read late', () => {
-  it('is as old as it was when the store gave it', async () => {
-    // Guards against an entry that stood still and then vouches for a copy that is out of date.
+describe('a response of the store that is read late', () => {
+  it('is dated by the time at which the store sent it', async () => {
+    // Guards against an entry that was paused and then reports an outdated copy as fresh.
     const { follower, time, clock, answer } = await startFollowing();
     time.now = 5000;
     await answer({ rows: [], revision: 1 }, 1000);
@@ -93,7 +93,7 @@
 
 describe('a confirmation of the store', () => {
   it('is no older than its call, whatever the clocks say', async () => {
-    // Guards against an entry that calls the store without end after its clock was set back.
+    // Guards against an entry that calls the store endlessly after the store's clock was set back.
     const { follower, time, clock, answer } = await startFollowing();
     time.now = 200;
     await answer({ rows: [], revision: 1 }, -10_000);
--- a/packages/catalog/src/follow-table.ts
+++ b/packages/catalog/src/follow-table.ts
@@ -1,7 +1,8 @@
 /**
- * Keeps a copy of one table of the store: read whole once, then followed by its changes. A call
- * that fails is tried again after a pause that grows; a history that is gone is read whole
- * again; a store that answers from behind what is known already is asked again.
+ * Keeps a local copy of one table of the store: lists all rows once, then applies the change feed.
+ * Failed calls are retried with exponential backoff and jitter. The table is listed again when the
+ * store no longer has the changes needed, and a response older than the local copy counts as a
+ * failed call.
  */
 import { FeedKind } from './store.js';
 import type { RowList, Store, StoreRow } from './store.js';
@@ -11,52 +12,62 @@
   readonly store: Store;
   readonly table: string;
   readonly part: string;
-  /** How long one call waits at the store for a change. */
+  /** How long the store may hold a call until there is a change. */
   longPollMilliseconds(): number;
-  /** Pause between two calls, for tables that change all the time: calls are what costs. */
+  /** Pause between two calls; limits the calls for tables that change constantly, as calls cost. */
   pauseMilliseconds(): number;
-  /** Longest pause between two tries while calls fail. */
+  /** Upper bound of the backoff while calls fail. */
   maximumRetryMilliseconds(): number;
+  /** Uniform in [0, 1). */
   readonly random: () => number;
-  /** Milliseconds for which other instances read the table for this one; 0 when it has to itself. */
+  /**
+   * Milliseconds for which this instance still relies on the reads of other instances; 0 if it has
+   * to call the store itself.
+   */
   delegatedMilliseconds(): number;
-  /** Told of each answer of the store. */
+  /** Receives the store's time from each response. */
   readonly clock: StoreClock;
+  /** Monotonic clock of this instance, in milliseconds. */
   now(): number;
-  /** All rows, as of a revision, whenever something changed. */
+  /** Called with all rows, as of a revision, after every change. */
   onRows(rows: ReadonlyMap<string, StoreRow>, revision: number): void;
-  /** Called after each call. */
+  /** Called after each call to the store; the reason is empty after a success. */
   onStoreResult(succeeded: boolean, reason: string): void;
 }
 
-/** An answer of the store by which a copy was the newest. */
+/** A response of the store showing that the copy was up to date. */
 export interface StoreConfirmation {
-  /** When the store gave it: milliseconds of its clock. */
+  /** When the store answered: milliseconds of the store's clock. */
   readonly answeredAt: number;
-  /** When it was asked for, by the own clock: it cannot be older than that. */
+  /**
+   * When the call was made: milliseconds of the local clock. The response cannot be older than
+   * that.
+   */
   readonly requestedAt: number;
 }
 
+/** A local copy of a table that is kept up to date. */
 export interface TableFollower {
   start(): void;
   stop(): void;
-  /** The copy as it stands; undefined before the first read. */
+  /** The current copy; undefined before the first list. */
   copy(): { readonly rows: ReadonlyMap<string, StoreRow>; readonly revision: number } | undefined;
-  /** Takes another's whole copy when it is newer than this one. */
+  /** Replaces the copy by that of another instance; returns false if that one is not newer. */
   replaceIfNewer(list: RowList): boolean;
-  /** Takes note that another has the same rows as of a revision. */
+  /** Records that the rows are unchanged up to a later revision. */
   advanceRevision(revision: number): void;
-  /** The store's last confirmation of the copy to this instance; undefined before the first. */
+  /** The latest response of the store to this instance; undefined before the first. */
   confirmation(): StoreConfirmation | undefined;
-  /** Whether the last call got no usable answer. */
+  /** Whether the last call got no usable response. */
   isFailing(): boolean;
 }
 
-/** First pause after a failure, in milliseconds: short, since changes must be seen in 2 s. */
+/** Initial backoff: short, because changes must be seen within 2 s. */
 const INITIAL_RETRY_MILLISECONDS = 100;
-/** Longest time between two looks at whether the store has to be asked after all. */
+/** Longest interval between two checks of whether the store must be called after all. */
 const DELEGATION_CHECK_MILLISECONDS = 250;
 
+/** Creates a follower of one partition of a table; it makes no calls until `start`. */
 export function followTable(options: FollowTableOptions): TableFollower {
   const { store, table, part } = options;
   const rows = new Map<string, StoreRow>();
@@ -75,7 +86,7 @@
   async function loadAllRows(): Promise<void> {
     const requestedAt = options.now();
     const list = await store.list(table, part);
-    if (list.revision < revision) throw new Error('the store answers from behind');
+    if (list.revision < revision) throw new Error('the store listed an older revision');
     recordConfirmation(list.answeredAt, requestedAt);
     replaceRows(list);
   }
@@ -105,9 +116,9 @@
       }
     }
     if (feed.revision < revision) {
-      // Another instance's copy came meanwhile, and is newer than this answer.
+      // A copy from another instance arrived during the call and is newer than this response.
       if (revision > requestedSince) return;
-      throw new Error('the store answers from behind');
+      throw new Error('the store sent changes of an older revision');
     }
     recordConfirmation(feed.answeredAt, requestedAt);
     let changed = false;
--- a/packages/catalog/src/freshness-tracker.test.ts
+++ b/packages/catalog/src/freshness-tracker.test.ts
@@ -8,8 +8,8 @@
 const NEWER: CopyVersion = { revision: 6, fingerprint: 'newer' };
 
 /**
- * The watch of an entry that the store has answered once, at a time that tests set; clocks of
- * entries and of the store are the same.
+ * Creates the tracker of an entry that has had one response of the store. Tests set the time; the
+ * clocks of entries and of the store show the same.
  */
 function startTracker(time: { now: number }) {
   const clock = createStoreClock(() => time.now);
@@ -33,7 +33,7 @@
 }
 
 describe('a copy of a table', () => {
-  it('is confirmed by the report of a reader, until that grows old', () => {
+  it('is confirmed by the report of a reader, and ages from then on', () => {
     const time = { now: 0 };
     const tracker = startTracker(time);
     expect(tracker.ageOf(OLDER)).toBe(Infinity);
@@ -42,8 +42,8 @@
     expect(tracker.ageOf(OLDER)).toBe(300);
   });
 
-  it('is no fresher than the store’s own answer, however often it is passed on', () => {
-    // Guards against sending work to a server that left while the store refused every reader.
+  it('is no fresher than the store’s response, however often the report is relayed', () => {
+    // Guards against sending requests to a server that left while the store refused every reader.
     const time = { now: 0 };
     const [relay, follower] = [startTracker(time), startTracker(time)];
     relay.onReport('reader', reportOf(OLDER, -700));
@@ -55,8 +55,8 @@
     expect(follower.ageOf(OLDER)).toBe(1300);
   });
 
-  it('grows old where entries confirm it to each other, however long their messages take', () => {
-    // Guards against entries that keep a copy fresh although the store has answered none of them.
+  it('ages although entries confirm it to each other, however long their messages take', () => {
+    // Guards against entries that consider a copy fresh although the store responds to none.
     const time = { now: 0 };
     const [left, right] = [startTracker(time), startTracker(time)];
     left.onReport('reader', reportOf(OLDER, 0));
@@ -80,8 +80,8 @@
     expect(tracker.ageOf(NEWER)).toBe(0);
   });
 
-  it('is confirmed again once a reader with a newer one has been gone for long', () => {
-    // Guards against reading the store for ever because a dead entry once reported more.
+  it('is confirmed again once a reader with a newer one has been gone for a long time', () => {
+    // Guards against reading the store forever because a stopped entry once reported a newer copy.
     const time = { now: 0 };
     const tracker = startTracker(time);
     tracker.onReport('b', reportOf(NEWER, 0));
@@ -91,7 +91,7 @@
   });
 
   it('is confirmed by a copy of a later revision with the same content', () => {
-    // Guards against a fleet that fetches all tables anew whenever an entry starts.
+    // Guards against a fleet that fetches all tables again whenever an entry starts.
     const tracker = startTracker({ now: 0 });
     tracker.onReport('started', reportOf({ ...OLDER, revision: 9 }, 0));
     expect(tracker.ageOf(OLDER)).toBe(0);
--- a/packages/catalog/src/freshness-tracker.ts
+++ b/packages/catalog/src/freshness-tracker.ts
@@ -1,31 +1,31 @@
 /**
- * How fresh an instance's copy of a table is when others follow the table for it. A call to the
- * store costs, whoever makes it, so few entries read and all report when the store confirmed
- * their copy. They pass on the store's own time, since entries that dated reports by their arrival
- * would confirm to each other a copy that the store has not.
+ * Tracks how fresh a copy of a table is while other entries read the table on this entry's behalf.
+ * Every call to the store has a cost, so only a few entries read; all entries report when the store
+ * last confirmed their copy. Reports carry the store's time: if entries dated reports by their
+ * arrival, they would keep confirming to each other a copy that the store has not confirmed.
  */
 import { isObject, numberOf, textOf } from '@lapisbridge/json-call';
 
 import type { StoreClock } from './store-clock.js';
 
-/** A copy of a table, as entries compare theirs. */
+/** Identifies a copy of a table, so that entries can compare theirs. */
 export interface CopyVersion {
-  /** Revision as of which the copy is whole. */
+  /** Revision as of which the copy is complete. */
   readonly revision: number;
   /**
-   * Of all that matters in the copy: heartbeats of servers do not. Revisions rise with every
-   * transaction, so copies of different revisions are mostly the same.
+   * Hash of the relevant content, which excludes heartbeats of servers. Every transaction raises
+   * the revision, so copies with different revisions mostly have the same content.
    */
   readonly fingerprint: string;
 }
 
-/** What an entry reports of its copy of a table. */
+/** An entry's report on its copy of a table, as sent to other entries. */
 export interface FreshnessReport extends CopyVersion {
-  /** When the store confirmed that nothing newer exists: milliseconds of its clock. */
+  /** When the store confirmed that the copy is up to date: milliseconds of the store's clock. */
   readonly confirmedAt: number;
 }
 
-/** Undefined where it is no such report. */
+/** Decodes a report; undefined if the value is not a valid one. */
 export function decodeFreshnessReport(value: unknown): FreshnessReport | undefined {
   if (!isObject(value)) return undefined;
   const revision = numberOf(value, 'revision');
@@ -37,31 +37,36 @@
   return { revision, fingerprint, confirmedAt };
 }
 
+/** The store's confirmation of some entry's copy. */
 export interface Confirmation {
   /** Instance id of the entry that reported it. */
   readonly entryId: string;
+  /** Milliseconds of the store's clock. */
   readonly confirmedAt: number;
 }
 
+/** Reports of other entries on their copies of one table. */
 export interface FreshnessTracker {
-  /** Takes the report of another entry. */
+  /** Records the report of another entry, by its instance id. */
   onReport(entryId: string, report: FreshnessReport): void;
   /**
-   * When the store confirmed to anyone that this copy is the newest, by its clock; undefined
-   * where that is not known, or another entry has a newer one.
+   * When the store last confirmed this content to any other entry, in milliseconds of the store's
+   * clock; undefined if no such report is known or another entry has a newer copy.
    */
   confirmedAt(copy: CopyVersion): number | undefined;
-  /** The newest confirmation of any copy by the store; undefined while there is none. */
+  /** The latest confirmation of any copy; undefined if there is none. */
   latestConfirmation(): Confirmation | undefined;
 }
 
 interface ReceivedReport extends FreshnessReport {
+  /** Milliseconds of the local clock. */
   readonly receivedAt: number;
 }
 
-/** Reports of entries that have been gone for longer are dropped. */
+/** Reports are dropped after this time, so that a stopped entry's newer copy stops counting. */
 const REPORT_EXPIRY_MILLISECONDS = 10_000;
 
+/** Creates a tracker for one table; `now` is the local monotonic clock in milliseconds. */
 export function createFreshnessTracker(now: () => number, clock: StoreClock): FreshnessTracker {
   const reports = new Map<string, ReceivedReport>();
 
--- a/packages/catalog/src/index.ts
+++ b/packages/catalog/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * Knowledge of a deployment: configuration, drained zones and backend servers, each as of one
- * revision.
+ * The state of a deployment as one instance sees it: configuration, drained availability zones and
+ * backend servers, each as of one store revision.
  */
 export { createCatalog } from './catalog.js';
 export type { Catalog, OperatorState, ServerList } from './catalog.js';
--- a/packages/catalog/src/store-clock.test.ts
+++ b/packages/catalog/src/store-clock.test.ts
@@ -5,19 +5,19 @@
 const MINUTE_MILLISECONDS = 60_000;
 
 describe('the store’s clock', () => {
-  it('tells ages by the shortest way on which a time of it came', () => {
+  it('measures ages by the least delayed time that was observed', () => {
     const time = { now: 1000 };
     const clock = createStoreClock(() => time.now);
     expect(clock.ageMilliseconds(0)).toBe(Infinity);
     clock.observe(20);
     time.now += 500;
-    // This one waited for 480 ms.
+    // This time was delayed by 480 ms.
     clock.observe(40);
     expect(clock.ageMilliseconds(40)).toBe(480);
   });
 
-  it('forgets a time that was ahead', () => {
-    // Guards against copies that are taken for old for ever after one wrong answer.
+  it('forgets a time that was ahead of the others', () => {
+    // Guards against copies that count as outdated forever after one wrong response.
     const time = { now: 0 };
     const clock = createStoreClock(() => time.now);
     clock.observe(5000);
--- a/packages/catalog/src/store-clock.ts
+++ b/packages/catalog/src/store-clock.ts
@@ -1,20 +1,24 @@
 /**
- * How old an answer of the store is, by the store's own clock. An answer may wait on its way, in a
- * process that stood still, or with another instance that passes it on. Dated by its arrival it
- * looks newer each time, and instances that confirm each other's copies keep them fresh for ever.
+ * Estimates the age of a response by the store's own clock. A response may be delayed in the
+ * network, in a paused process or by an instance that relays it. If it were dated by its arrival,
+ * it would look newer after each delay, and instances that confirm each other's copies would
+ * consider them fresh forever. The clock offset is that of the least delayed response.
  */
+
+/** Times are milliseconds of the store's monotonic clock. */
 export interface StoreClock {
-  /** Takes note of a moment of the store's clock that has passed. */
+  /** Records a time of the store's clock that has already passed. */
   observe(storeTime: number): void;
-  /** Milliseconds since the moment; infinite before any was observed. */
+  /** Milliseconds since that time; `Infinity` before any time was observed. */
   ageMilliseconds(storeTime: number): number;
 }
 
-/** The shortest way is looked for anew after this long: clocks differ in pace. */
+/** The offset is measured anew after each window, because clocks drift. */
 const OFFSET_WINDOW_MILLISECONDS = 60_000;
 
+/** Creates an estimator; `now` is the local monotonic clock in milliseconds. */
 export function createStoreClock(now: () => number): StoreClock {
-  /** Own clock less the store's, where the answer came the shortest way. */
+  /** Local clock minus the store's clock, as of the least delayed response of the window. */
   let offset = Infinity;
   let previousOffset = Infinity;
   let windowStartedAt = now();
--- a/packages/catalog/src/table-copy.ts
+++ b/packages/catalog/src/table-copy.ts
@@ -1,12 +1,14 @@
 /**
- * Copies of a table that entries give each other while the store turns some of them away. A
- * copy is whole as of its revision, so the newer one simply replaces the older.
+ * JSON encoding of the table copies that entries send each other while the store refuses calls of
+ * some of them. A copy is complete as of its revision, so a newer copy replaces an older one as a
+ * whole.
  */
 import { isObject, numberOf, objectsOf, textOf } from '@lapisbridge/json-call';
 import type { JsonObject } from '@lapisbridge/json-call';
 
 import type { RowList, StoreRow } from './store.js';
 
+/** Encodes a copy; values are in base64. */
 export function encodeCopy(rows: ReadonlyMap<string, StoreRow>, revision: number): JsonObject {
   const encoded: JsonObject[] = [];
   for (const { key, value, revision: rowRevision } of rows.values()) {
@@ -15,7 +17,7 @@
   return { revision, rows: encoded };
 }
 
-/** Undefined when it is no copy. */
+/** Decodes a copy; undefined if the body is not a valid one. */
 export function decodeCopy(body: unknown, table: string, part: string): RowList | undefined {
   if (!isObject(body)) return undefined;
   const revision = numberOf(body, 'revision');
--- a/packages/catalog/src/types.ts
+++ b/packages/catalog/src/types.ts
@@ -1,92 +1,103 @@
 /**
- * What an instance knows of its deployment: the operators' configuration, which availability
- * zones take no work, and the backend servers. Adapters fill these types; decisions read them.
+ * Types of the catalog: routes, services, client accounts, caller limits and backend servers.
+ * Platform adapters decode rows of the store into these types; routing and forwarding read them.
  */
 
-/** What may be done again when an answer is lost. */
+/** Whether a request may be sent again after its response was lost. */
 export enum RequestKind {
-  /** May run any number of times. */
+  /** May run any number of times, so it can be retried. */
   Idempotent = 'idempotent',
-  /** Runs once at most for each attempt of a client. */
+  /** Runs at most once per client attempt. */
   AtMostOnce = 'atMostOnce',
-  /** A series of events; may be continued elsewhere only where the route says so. */
+  /** A stream of events; continued on another backend server only if the route is resumable. */
   Streaming = 'streaming',
 }
 
+/** A target of a route and its share of the route's traffic. */
 export interface WeightedService {
   readonly service: string;
+  /** Relative to the sum of the weights of the route's targets. */
   readonly weight: number;
 }
 
+/** Requests of one host and path prefix, and how they are served. */
 export interface Route {
   readonly name: string;
   readonly host: string;
-  /** Begins and ends with a slash; the longest one that begins the path wins. */
+  /** Starts and ends with a slash; the longest prefix that matches the path wins. */
   readonly prefix: string;
   readonly kind: RequestKind;
-  /** Longest time a caller is kept waiting for the whole answer. */
+  /** Time limit for the complete response. */
   readonly timeoutMilliseconds: number;
-  /** Time to the answer, or to the first event, that callers hope for. */
+  /** Objective for the time to the response, or to the first event of a stream. */
   readonly latencyObjectiveMilliseconds: number;
-  /** Longest pause between events that callers hope for; 0 where answers have no events. */
+  /** Objective for the longest pause between two events; 0 if the route does not stream. */
   readonly eventGapObjectiveMilliseconds: number;
   /** 0 is the most urgent. */
   readonly priority: number;
   readonly targets: readonly WeightedService[];
-  /** Backend servers that one attempt of a client may run on. */
+  /** Most backend servers that one client attempt may be sent to. */
   readonly maximumAttempts: number;
-  /** Served without a key. */
+  /** Served without an API key. */
   readonly isPublic: boolean;
-  /** A stream may be continued by another backend server after the last event delivered. */
+  /** Another backend server may continue a stream after the last delivered event. */
   readonly resumable: boolean;
 }
 
-/** Speed of a model runner, as its operators state it. */
+/** Capacity of a model runner, as operators configure it. */
 export interface EngineProfile {
-  /** Requests that write at the same time. */
+  /** Requests that can generate output at the same time. */
   readonly slots: number;
   readonly prefillTokensPerSecond: number;
-  /** Steps that one pass executes. */
+  /** Steps executed in one pass. */
   readonly stepsPerPass: number;
-  /** Sets of layers that have experts of their own. */
+  /** Number of layer sets with experts of their own; 0 if the model has no experts. */
   readonly sets: number;
+  /** Experts in each set. */
   readonly experts: number;
-  /** Experts that a rank can hold in one set. */
+  /** Experts of one set that a rank can hold. */
   readonly placesPerRank: number;
-  /** Experts of a set that a rank can load for one new map. */
+  /** Experts of one set that a rank can load while a new map is prepared. */
   readonly newPerRank: number;
 }
 
+/** Limits of a service's backend servers, as operators configure them. */
 export interface ServiceProfile {
   readonly name: string;
-  /** Connections that one backend server takes from all callers together. */
+  /** Connections that one backend server accepts in total. */
   readonly maximumConnections: number;
-  /** Requests a second that a cold backend server bears; 0 where it has no cold phase. */
+  /** Requests per second that a backend server can serve while it warms up; 0 if it needs none. */
   readonly coldRequestsPerSecond: number;
+  /** Undefined if the service is not a model runner. */
   readonly engine: EngineProfile | undefined;
 }
 
+/** The account that a request's API key belongs to. */
 export interface ClientAccount {
   readonly name: string;
+  /** 0 is the most urgent; undefined if the route's priority applies. */
   readonly priority: number | undefined;
 }
 
+/** Limits on requests from callers: body size in bytes, timeouts in milliseconds. */
 export interface CallerLimits {
   readonly maximumBodyBytes: number;
   readonly headerTimeoutMilliseconds: number;
   readonly idleTimeoutMilliseconds: number;
 }
 
+/** One version of the operators' configuration. */
 export interface Configuration {
   readonly version: number;
   readonly routes: readonly Route[];
+  /** By name. */
   readonly services: ReadonlyMap<string, ServiceProfile>;
-  /** Accounts by key; undefined where the deployment knows no keys. */
+  /** Accounts by API key; undefined if the deployment does not use keys. */
   readonly accountsByKey: ReadonlyMap<string, ClientAccount> | undefined;
   readonly limits: CallerLimits;
 }
 
-/** The rank of a lock-step group that a backend server is. */
+/** A backend server's place in a lock-step group. */
 export interface GroupRank {
   readonly group: string;
   readonly epoch: number;
@@ -94,6 +105,10 @@
   readonly open: boolean;
 }
 
+/**
+ * A backend server as registered in the store. Entries compare a hash of its JSON form, so renaming
+ * a field changes that hash.
+ */
 export interface BackendServer {
   readonly instanceId: string;
   readonly service: string;
@@ -101,9 +116,9 @@
   readonly port: number;
   readonly availabilityZone: string;
   readonly slots: number;
-  /** Takes no new work, and will end. */
+  /** Takes no new requests and is about to stop. */
   readonly draining: boolean;
   readonly groupRank: GroupRank | undefined;
-  /** Unix milliseconds of its start by its own clock; undefined where it does not say. */
+  /** Start time by the server's own clock, in Unix milliseconds; undefined if not stated. */
   readonly startedAt: number | undefined;
 }
