--- a/packages/direct-entry/src/adapters.ts
+++ b/packages/direct-entry/src/adapters.ts
@@ -14,8 +14,8 @@
   readonly operatorsTable: string;
   readonly serversTable: string;
   /** Rows that cannot be read are left out. */
-  decodeOperators(rows: TableRows, revision: number): OperatorState;
-  decodeServers(rows: TableRows, revision: number): ServerList;
+  decodeOperatorState(rows: TableRows, revision: number): OperatorState;
+  decodeServerList(rows: TableRows, revision: number): ServerList;
 }
 
 export interface StoreOptions extends Address {
--- a/packages/direct-entry/src/played-knowledge.ts
+++ b/packages/direct-entry/src/catalog-sync-simulation.ts
@@ -15,10 +15,10 @@
 
 import type { TableAdapter, TableRows } from './adapters.js';
 import type { FollowedTable, FetchedCopy } from './copy-exchange.js';
-import { createKnowledge } from './knowledge.js';
-import type { Knowledge } from './knowledge.js';
+import { createCatalogSync } from './catalog-sync.js';
+import type { CatalogSync } from './catalog-sync.js';
 
-export interface PlayedKnowledgeOptions {
+export interface CatalogSyncSimulationOptions {
   readonly seed: number;
   readonly zones: number;
   readonly entries: number;
@@ -28,13 +28,13 @@
   readonly drainingBoundMilliseconds: number;
 }
 
-export interface PlayedKnowledge {
+export interface CatalogSyncSimulation {
   readonly fleet: PlayedFleet;
   now(): number;
   run(milliseconds: number): Promise<void>;
-  entriesAs(role: ReadingRole): readonly PlayedEntry[];
+  entriesWithRole(role: ReadingRole): readonly PlayedEntry[];
   /** Lets the store answer no call of an entry but with a refusal. */
-  turnAway(instanceId: string): void;
+  refuseStoreCalls(instanceId: string): void;
   pause(instanceId: string): void;
   resume(instanceId: string): void;
   kill(instanceId: string): void;
@@ -42,21 +42,21 @@
   /** Writes a new version. */
   changeConfiguration(): void;
   /** Milliseconds from the last change until it was in force, by entry; infinite where it is not. */
-  delays(): ReadonlyMap<string, number>;
+  propagationDelays(): ReadonlyMap<string, number>;
 }
 
 const OPERATORS = 'operators';
 /** Between two steps of simulated time. */
 const STEP_MILLISECONDS = 2;
-const START_WITHIN_MILLISECONDS = 300;
-const STORE_HOP_MILLISECONDS = 2;
-const STORE_MILLISECONDS = 700;
-const FETCH_MILLISECONDS = 400;
+const START_SPREAD_MILLISECONDS = 300;
+const STORE_LATENCY_MILLISECONDS = 2;
+const STORE_TIMEOUT_MILLISECONDS = 700;
+const FETCH_TIMEOUT_MILLISECONDS = 400;
 
 const TABLES: TableAdapter = {
   operatorsTable: OPERATORS,
   serversTable: 'servers',
-  decodeOperators(rows: TableRows, revision) {
+  decodeOperatorState(rows: TableRows, revision) {
     const version = Number(rows.get('version')?.value?.toString() ?? 0);
     const limits = {
       maximumHeaderBytes: 0,
@@ -76,7 +76,7 @@
       },
     };
   },
-  decodeServers: (_rows, revision) => ({ revision, servers: new Map() }),
+  decodeServerList: (_rows, revision) => ({ revision, servers: new Map() }),
 };
 
 function sleep(milliseconds: number): Promise<void> {
@@ -85,12 +85,12 @@
   });
 }
 
-export function playKnowledge(options: PlayedKnowledgeOptions): PlayedKnowledge {
+export function simulateCatalogSync(options: CatalogSyncSimulationOptions): CatalogSyncSimulation {
   const random = createRandom(options.seed);
-  const knowledges = new Map<string, Knowledge>();
+  const catalogSyncs = new Map<string, CatalogSync>();
   const catalogs = new Map<string, Catalog>();
-  const inForceAt = new Map<string, Map<number, number>>();
-  const turnedAway = new Set<string>();
+  const appliedAt = new Map<string, Map<number, number>>();
+  const refusedByStore = new Set<string>();
   const dead = new Set<string>();
   /** Resolved when the entry goes on. */
   const paused = new Map<string, { readonly until: Promise<void>; resume(): void }>();
@@ -106,9 +106,9 @@
     entries: options.entries,
     sidecars: 0,
     delayMilliseconds: options.delayMilliseconds,
-    freshness: ({ instanceId }) => knowledges.get(instanceId)?.freshness() ?? {},
+    freshness: ({ instanceId }) => catalogSyncs.get(instanceId)?.freshness() ?? {},
     onFreshness: ({ instanceId }, from, freshness) =>
-      knowledges.get(instanceId)?.onPeerState(from, freshness),
+      catalogSyncs.get(instanceId)?.onPeerFreshness(from, freshness),
   });
   const byHost = new Map(fleet.entries.map((entry) => [entry.name.host, entry]));
 
@@ -125,19 +125,23 @@
   }
 
   /** Rejects when the whole call takes longer than the time, whether or not the entry stood still. */
-  async function callOf<T>(instanceId: string, most: number, answer: () => Promise<T>): Promise<T> {
+  async function callWithTimeout<T>(
+    instanceId: string,
+    timeoutMilliseconds: number,
+    answer: () => Promise<T>,
+  ): Promise<T> {
     await paused.get(instanceId)?.until;
     const startedAt = fleet.now();
     const result = await answer();
     await paused.get(instanceId)?.until;
-    if (fleet.now() - startedAt > most) throw new Error('no answer in time');
+    if (fleet.now() - startedAt > timeoutMilliseconds) throw new Error('no answer in time');
     return result;
   }
 
   async function reachStore(instanceId: string): Promise<void> {
-    await sleep(STORE_HOP_MILLISECONDS);
-    if (!turnedAway.has(instanceId) && !dead.has(instanceId)) return;
-    await sleep(STORE_HOP_MILLISECONDS);
+    await sleep(STORE_LATENCY_MILLISECONDS);
+    if (!refusedByStore.has(instanceId) && !dead.has(instanceId)) return;
+    await sleep(STORE_LATENCY_MILLISECONDS);
     throw new Error('turned away');
   }
 
@@ -154,21 +158,21 @@
   function storeOf(instanceId: string): Store {
     return {
       list: (table): Promise<StoreAnswer> =>
-        callOf(instanceId, STORE_MILLISECONDS, async () => {
+        callWithTimeout(instanceId, STORE_TIMEOUT_MILLISECONDS, async () => {
           await reachStore(instanceId);
           const list = { rows: rowsOf(table), revision, answeredAt: fleet.now() };
-          await sleep(STORE_HOP_MILLISECONDS);
+          await sleep(STORE_LATENCY_MILLISECONDS);
           return list;
         }),
       feed: (table, since, wait): Promise<Feed> =>
-        callOf(instanceId, STORE_MILLISECONDS + wait, async () => {
+        callWithTimeout(instanceId, STORE_TIMEOUT_MILLISECONDS + wait, async () => {
           await reachStore(instanceId);
           const isFollowed = table === OPERATORS;
           if (!isFollowed) await sleep(wait);
           else if (revision === since) await waitForChange(wait);
           const rows = revision === since ? [] : rowsOf(table);
           const feed: Feed = { kind: FeedKind.Changes, rows, revision, answeredAt: fleet.now() };
-          await sleep(STORE_HOP_MILLISECONDS);
+          await sleep(STORE_LATENCY_MILLISECONDS);
           return feed;
         }),
       write: () => Promise.resolve({ kind: TransactionKind.Conflict, revision: 0 }),
@@ -185,7 +189,7 @@
         text = body ?? '';
       },
     };
-    knowledges
+    catalogSyncs
       .get(target)
       ?.respondWithCopy(
         incoming as unknown as IncomingMessage,
@@ -201,13 +205,13 @@
     };
   }
 
-  function fetchOf(name: InstanceName, host: string, table: FollowedTable, since: number) {
-    return callOf(name.instanceId, FETCH_MILLISECONDS, async () => {
+  function fetchCopyFor(name: InstanceName, host: string, table: FollowedTable, since: number) {
+    return callWithTimeout(name.instanceId, FETCH_TIMEOUT_MILLISECONDS, async () => {
       const target = byHost.get(host)?.name;
       await sleep(options.delayMilliseconds);
       const { instanceId = '' } = target ?? {};
       if (target === undefined || dead.has(instanceId) || isCut(name, target)) {
-        await sleep(FETCH_MILLISECONDS);
+        await sleep(FETCH_TIMEOUT_MILLISECONDS);
         throw new Error('no answer in time');
       }
       await paused.get(instanceId)?.until;
@@ -219,14 +223,15 @@
 
   for (const { name, fleet: part } of fleet.entries) {
     const catalog = createCatalog();
-    const times = new Map<number, number>();
+    const appliedVersions = new Map<number, number>();
     catalog.onChange(() => {
       const known = catalog.operatorState().configuration?.version;
-      if (known !== undefined && !times.has(known)) times.set(known, fleet.now());
+      if (known !== undefined && !appliedVersions.has(known))
+        appliedVersions.set(known, fleet.now());
     });
     catalogs.set(name.instanceId, catalog);
-    inForceAt.set(name.instanceId, times);
-    const knowledge = createKnowledge({
+    appliedAt.set(name.instanceId, appliedVersions);
+    const catalogSync = createCatalogSync({
       catalog,
       store: storeOf(name.instanceId),
       tables: TABLES,
@@ -234,20 +239,20 @@
       random,
       availabilityZone: name.availabilityZone,
       now: fleet.now,
-      fetchCopy: (host, table, since) => fetchOf(name, host, table, since),
+      fetchCopy: (host, table, since) => fetchCopyFor(name, host, table, since),
       bounds: () => ({
         configuration: options.configurationBoundMilliseconds,
         draining: options.drainingBoundMilliseconds,
       }),
-      livingHosts: () => part.livingHosts(),
+      livePeerHosts: () => part.livingHosts(),
       isDelegating: () => part.isDelegating(),
       role: () => part.readingRole(),
-      onNews: () => part.onNews(),
+      onFreshnessChange: () => part.onNews(),
     });
-    knowledges.set(name.instanceId, knowledge);
+    catalogSyncs.set(name.instanceId, catalogSync);
   }
 
-  const played: PlayedKnowledge = {
+  const simulation: CatalogSyncSimulation = {
     fleet,
     now: () => fleet.now(),
     async run(milliseconds) {
@@ -256,8 +261,8 @@
         await vi.advanceTimersByTimeAsync(STEP_MILLISECONDS);
       }
     },
-    entriesAs: (role) => fleet.entries.filter((entry) => entry.fleet.readingRole() === role),
-    turnAway: (instanceId) => turnedAway.add(instanceId),
+    entriesWithRole: (role) => fleet.entries.filter((entry) => entry.fleet.readingRole() === role),
+    refuseStoreCalls: (instanceId) => refusedByStore.add(instanceId),
     pause(instanceId) {
       let resume = (): void => undefined;
       const until = new Promise<void>((resolve) => {
@@ -286,16 +291,16 @@
       onChange = [];
       for (const wake of waiting) wake();
     },
-    delays() {
-      const delays = new Map<string, number>();
-      for (const [instanceId, times] of inForceAt) {
-        delays.set(instanceId, (times.get(version) ?? Infinity) - changedAt);
+    propagationDelays() {
+      const propagationDelays = new Map<string, number>();
+      for (const [instanceId, appliedVersions] of appliedAt) {
+        propagationDelays.set(instanceId, (appliedVersions.get(version) ?? Infinity) - changedAt);
       }
-      return delays;
+      return propagationDelays;
     },
   };
-  for (const knowledge of knowledges.values()) {
-    setTimeout(() => knowledge.start(), Math.floor(random() * START_WITHIN_MILLISECONDS));
+  for (const catalogSync of catalogSyncs.values()) {
+    setTimeout(() => catalogSync.start(), Math.floor(random() * START_SPREAD_MILLISECONDS));
   }
-  return played;
+  return simulation;
 }
--- a/packages/direct-entry/src/copy-exchange.ts
+++ b/packages/direct-entry/src/copy-exchange.ts
@@ -29,7 +29,7 @@
 }
 
 const COPY_PATH = '/copy/';
-const FETCH_MILLISECONDS = 400;
+const FETCH_TIMEOUT_MILLISECONDS = 400;
 const TABLES: readonly string[] = Object.values(FollowedTable);
 
 /** Undefined where the answer is no copy. Rejects when no answer came. */
@@ -45,7 +45,7 @@
     method: 'GET',
     path: `${COPY_PATH}${table}?since=${since}`,
     body: undefined,
-    timeoutMilliseconds: FETCH_MILLISECONDS,
+    timeoutMilliseconds: FETCH_TIMEOUT_MILLISECONDS,
   });
   const list = decodeCopy(answer.body, table, '');
   if (list === undefined) return undefined;
@@ -56,7 +56,7 @@
   };
 }
 
-export interface CopyServerOptions {
+export interface CopyResponderOptions {
   copy(table: FollowedTable): TableCopy | undefined;
   /** What this entry reports of its copy; undefined where the store has not confirmed it. */
   freshness(table: FollowedTable): FreshnessReport | undefined;
@@ -70,13 +70,13 @@
 /** Answers a request for a copy; false where the path is none of a copy. */
 export type CopyResponder = (incoming: IncomingMessage, response: ServerResponse) => boolean;
 
-export function createCopyResponder(options: CopyServerOptions): CopyResponder {
+export function createCopyResponder(options: CopyResponderOptions): CopyResponder {
   const encoded = new Map<FollowedTable, EncodedCopy>();
 
   /** All entries of a zone fetch the same revision within milliseconds: it is encoded once. */
   function encode(table: FollowedTable, { rows, revision }: TableCopy): string {
-    const known = encoded.get(table);
-    if (known?.revision === revision) return known.text;
+    const cached = encoded.get(table);
+    if (cached?.revision === revision) return cached.text;
     const text = JSON.stringify(encodeCopy(rows, revision).rows);
     encoded.set(table, { revision, text });
     return text;
--- a/packages/direct-entry/src/copy-freshness.ts
+++ b/packages/direct-entry/src/copy-freshness.ts
@@ -23,7 +23,7 @@
   /** Takes the report of another entry. */
   onReport(table: FollowedTable, entry: string, report: FreshnessReport): void;
   /** Milliseconds since a moment of the store's clock; infinite where there is none. */
-  ageOf(moment: number | undefined): number;
+  ageOf(storeTime: number | undefined): number;
   /** Milliseconds since the store confirmed the copy to this entry itself. */
   ownAgeMilliseconds(table: FollowedTable): number;
   /** Milliseconds since the store confirmed the copy to anyone; infinite where it has not. */
@@ -41,7 +41,7 @@
   const clock = createStoreClock(now);
   /** Empty before the first copy. */
   const fingerprints = { [FollowedTable.Operators]: '', [FollowedTable.Servers]: '' };
-  const watches: Readonly<Record<FollowedTable, FreshnessTracker>> = {
+  const trackers: Readonly<Record<FollowedTable, FreshnessTracker>> = {
     [FollowedTable.Operators]: createFreshnessTracker(now, clock),
     [FollowedTable.Servers]: createFreshnessTracker(now, clock),
   };
@@ -52,13 +52,13 @@
     return { revision, fingerprint: fingerprints[table] };
   }
 
-  function toOthers(table: FollowedTable): number | undefined {
+  function confirmedToPeersAt(table: FollowedTable): number | undefined {
     const version = versionOf(table);
-    return version.revision === 0 ? undefined : watches[table].confirmedAt(version);
+    return version.revision === 0 ? undefined : trackers[table].confirmedAt(version);
   }
 
-  function ageOf(moment: number | undefined): number {
-    return moment === undefined ? Infinity : clock.ageMilliseconds(moment);
+  function ageOf(storeTime: number | undefined): number {
+    return storeTime === undefined ? Infinity : clock.ageMilliseconds(storeTime);
   }
 
   function ownAgeMilliseconds(table: FollowedTable): number {
@@ -76,17 +76,18 @@
       fingerprints[table] = fingerprint;
       return true;
     },
-    onReport: (table, entry, report) => watches[table].onReport(entry, report),
+    onReport: (table, entry, report) => trackers[table].onReport(entry, report),
     ageOf,
     ownAgeMilliseconds,
-    ageMilliseconds: (table) => Math.min(ownAgeMilliseconds(table), ageOf(toOthers(table))),
+    ageMilliseconds: (table) =>
+      Math.min(ownAgeMilliseconds(table), ageOf(confirmedToPeersAt(table))),
     reportOf(table) {
       const own = follower(table).confirmation()?.answeredAt;
-      const others = toOthers(table);
+      const others = confirmedToPeersAt(table);
       if (own === undefined && others === undefined) return undefined;
       const confirmedAt = Math.max(own ?? -Infinity, others ?? -Infinity);
       return { ...versionOf(table), confirmedAt };
     },
-    latestConfirmation: (table) => watches[table].latestConfirmation(),
+    latestConfirmation: (table) => trackers[table].latestConfirmation(),
   };
 }
--- a/packages/direct-entry/src/plan-entries.test.ts
+++ b/packages/direct-entry/src/estimate-entry-count.test.ts
@@ -2,13 +2,15 @@
 import { createRandom, pickSome } from '@lapisbridge/kernel';
 import { expect, it } from 'vitest';
 
-import { planEntries } from './plan-entries.js';
+import { estimateEntryCount } from './estimate-entry-count.js';
 
 it('assumes others until they had time to be heard', () => {
-  const input = { known: 2, servers: 19 };
-  expect(planEntries({ ...input, sinceStartMilliseconds: 100 })).toBe(8);
-  expect(planEntries({ ...input, sinceStartMilliseconds: 6000 })).toBe(2);
-  expect(planEntries({ known: 12, servers: 19, sinceStartMilliseconds: 100 })).toBe(12);
+  const input = { knownEntries: 2, backendServers: 19 };
+  expect(estimateEntryCount({ ...input, sinceStartMilliseconds: 100 })).toBe(8);
+  expect(estimateEntryCount({ ...input, sinceStartMilliseconds: 6000 })).toBe(2);
+  expect(
+    estimateEntryCount({ knownEntries: 12, backendServers: 19, sinceStartMilliseconds: 100 }),
+  ).toBe(12);
 });
 
 it.each([0, 1, 3, 8, 14, 20, 30, 45])(
@@ -22,11 +24,15 @@
     for (let server = 0; server < 100; server += 1) {
       let sent = 0;
       for (const own of names) {
-        const known = pickSome(names, others, random);
-        const view = known.includes(own) ? known : [...known, own];
-        const input = { known: view.length, servers: 77, sinceStartMilliseconds: 800 };
+        const knownEntries = pickSome(names, others, random);
+        const view = knownEntries.includes(own) ? knownEntries : [...knownEntries, own];
+        const input = {
+          knownEntries: view.length,
+          backendServers: 77,
+          sinceStartMilliseconds: 800,
+        };
         const share = createColdShare(
-          () => ({ own, names: view, count: planEntries(input) }),
+          () => ({ own, names: view, count: estimateEntryCount(input) }),
           () => 0,
         );
         while (share.roomIn(`server-${server}`, rate) === 0) {
--- a/packages/direct-entry/src/instance-listener.ts
+++ b/packages/direct-entry/src/instance-listener.ts
@@ -19,20 +19,20 @@
 }
 
 /** A leader sends one order a zone for each map. */
-const MOST_BODY_BYTES = 4_000_000;
+const MAXIMUM_BODY_BYTES = 4_000_000;
 
 async function readBody(incoming: IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = [];
   let size = 0;
   for await (const chunk of incoming) {
     size += (chunk as Buffer).length;
-    if (size > MOST_BODY_BYTES) throw new RangeError(`body over ${MOST_BODY_BYTES} bytes`);
+    if (size > MAXIMUM_BODY_BYTES) throw new RangeError(`body over ${MAXIMUM_BODY_BYTES} bytes`);
     chunks.push(chunk as Buffer);
   }
   return Buffer.concat(chunks);
 }
 
-async function passOn(incoming: IncomingMessage, response: ServerResponse): Promise<void> {
+async function relayPrepare(incoming: IncomingMessage, response: ServerResponse): Promise<void> {
   const body = parseObject(await readBody(incoming));
   const outcomes = body === undefined ? {} : await passOnPrepare(body);
   response.writeHead(200, { 'content-type': 'application/json' });
@@ -49,7 +49,7 @@
       response.end();
       return;
     }
-    passOn(incoming, response).catch((thrown: unknown) => {
+    relayPrepare(incoming, response).catch((thrown: unknown) => {
       logger.warn('order not passed on', { reason: String(thrown) });
       response.destroy();
     });
--- a/packages/direct-entry/src/plan-reading.test.ts
+++ b/packages/direct-entry/src/plan-store-reads.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 
-import { planReading, SERVERS_WAIT_MILLISECONDS } from './plan-reading.js';
+import { planStoreReads, SERVERS_LONG_POLL_MILLISECONDS } from './plan-store-reads.js';
 
 const BOUND = fc.integer({ min: 2000, max: 10_000 });
 
@@ -13,9 +13,9 @@
       fc.property(BOUND, BOUND, (configuration, draining) => {
         const bounds = { configuration, draining };
         for (const role of Object.values(ReadingRole)) {
-          const pace = planReading({ bounds, isDelegating: true, role });
-          expect(pace.operatorsLimit).toBeLessThan(configuration - 250);
-          expect(pace.serversLimit).toBeLessThan(draining - 150);
+          const plan = planStoreReads({ bounds, isDelegating: true, role });
+          expect(plan.operatorsDirectReadAgeMilliseconds).toBeLessThan(configuration - 250);
+          expect(plan.serversDirectReadAgeMilliseconds).toBeLessThan(draining - 150);
         }
       }),
       { seed: 4, numRuns: 200 },
@@ -30,14 +30,14 @@
     for (const bound of [4000, 6000, 10_000]) {
       const bounds = { configuration: bound, draining: bound };
       for (const role of [ReadingRole.Primary, ReadingRole.Standby, ReadingRole.Follower]) {
-        const pace = planReading({ bounds, isDelegating: true, role });
-        expect(bound - pace.operatorsLimit).toBeGreaterThanOrEqual(needed);
-        expect(bound - pace.serversLimit).toBeGreaterThanOrEqual(needed);
+        const plan = planStoreReads({ bounds, isDelegating: true, role });
+        expect(bound - plan.operatorsDirectReadAgeMilliseconds).toBeGreaterThanOrEqual(needed);
+        expect(bound - plan.serversDirectReadAgeMilliseconds).toBeGreaterThanOrEqual(needed);
         // A call that waits at the store would confirm nothing in that time.
-        expect(pace.operatorsWait).toBe(0);
-        expect(pace.serversWait).toBe(0);
+        expect(plan.operatorsLongPollMilliseconds).toBe(0);
+        expect(plan.serversLongPollMilliseconds).toBe(0);
         // Guards against calls without end where answers do not make a copy fresh.
-        expect(pace.operatorsPause).toBeGreaterThan(100);
+        expect(plan.operatorsPauseMilliseconds).toBeGreaterThan(100);
       }
     }
   });
@@ -47,11 +47,13 @@
     fc.assert(
       fc.property(BOUND, BOUND, (configuration, draining) => {
         const bounds = { configuration, draining };
-        const reader = planReading({ bounds, isDelegating: true, role: ReadingRole.Reader });
-        const pace = planReading({ bounds, isDelegating: true, role: ReadingRole.Primary });
-        expect(reader.operatorsWait + 500).toBeLessThan(pace.operatorsLimit);
-        const usualAge = pace.serversPause + SERVERS_WAIT_MILLISECONDS;
-        expect(usualAge + 500).toBeLessThan(pace.serversLimit);
+        const reader = planStoreReads({ bounds, isDelegating: true, role: ReadingRole.Reader });
+        const plan = planStoreReads({ bounds, isDelegating: true, role: ReadingRole.Primary });
+        expect(reader.operatorsLongPollMilliseconds + 500).toBeLessThan(
+          plan.operatorsDirectReadAgeMilliseconds,
+        );
+        const expectedAge = plan.serversPauseMilliseconds + SERVERS_LONG_POLL_MILLISECONDS;
+        expect(expectedAge + 500).toBeLessThan(plan.serversDirectReadAgeMilliseconds);
       }),
       { seed: 4, numRuns: 200 },
     );
@@ -59,9 +61,9 @@
 
   it('is taken up by a zone’s primary first, unless a short bound leaves no time', () => {
     const bounds = { configuration: 4000, draining: 4000 };
-    const limit = (role: ReadingRole): number =>
-      planReading({ bounds, isDelegating: true, role }).serversLimit;
-    expect(limit(ReadingRole.Primary)).toBeLessThan(limit(ReadingRole.Standby));
-    expect(limit(ReadingRole.Standby)).toBeLessThan(limit(ReadingRole.Follower));
+    const directReadAge = (role: ReadingRole): number =>
+      planStoreReads({ bounds, isDelegating: true, role }).serversDirectReadAgeMilliseconds;
+    expect(directReadAge(ReadingRole.Primary)).toBeLessThan(directReadAge(ReadingRole.Standby));
+    expect(directReadAge(ReadingRole.Standby)).toBeLessThan(directReadAge(ReadingRole.Follower));
   });
 });
--- a/packages/direct-entry/src/start-entry.ts
+++ b/packages/direct-entry/src/start-entry.ts
@@ -27,13 +27,13 @@
 import type { EntryAdapters } from './adapters.js';
 import { fetchCopy } from './copy-exchange.js';
 import { startInstanceListener } from './instance-listener.js';
-import { createKnowledge } from './knowledge.js';
-import type { Knowledge } from './knowledge.js';
-import { planEntries } from './plan-entries.js';
+import { createCatalogSync } from './catalog-sync.js';
+import type { CatalogSync } from './catalog-sync.js';
+import { estimateEntryCount } from './estimate-entry-count.js';
 import { startFleet } from './start-fleet.js';
 
 /** Longest wait for an answer of the store, beyond the wait that was asked for. */
-const STORE_MILLISECONDS = 700;
+const STORE_TIMEOUT_MILLISECONDS = 700;
 /** The balancer takes an instance out after two missed checks, one a second. */
 const LINGER_MILLISECONDS = 2600;
 
@@ -70,17 +70,17 @@
   let isStopping = false;
   const pulse = createPulse(monotonicClock);
 
-  function entriesOf(known: number): number {
-    return planEntries({
-      known,
-      servers: catalog.servers().servers.size,
+  function estimateEntries(knownEntries: number): number {
+    return estimateEntryCount({
+      knownEntries,
+      backendServers: catalog.servers().servers.size,
       sinceStartMilliseconds: monotonicClock() - startedAt,
     });
   }
 
   const sendingEntries = (): SendingEntries => {
     const names = fleet.entryIds();
-    return { own: settings.instanceId, names, count: entriesOf(names.length) };
+    return { own: settings.instanceId, names, count: estimateEntries(names.length) };
   };
   const rateLimits = createServerRateLimits({
     logger,
@@ -101,14 +101,14 @@
     logger,
     metrics,
     random,
-    fleetSize: entriesOf,
-    knowledge: () => knowledge,
+    fleetSize: estimateEntries,
+    catalogSync: () => catalogSync,
   });
-  const knowledge: Knowledge = createKnowledge({
+  const catalogSync: CatalogSync = createCatalogSync({
     catalog,
     store: adapters.createStore({
       ...settings.storeAddress,
-      timeoutMilliseconds: STORE_MILLISECONDS,
+      timeoutMilliseconds: STORE_TIMEOUT_MILLISECONDS,
     }),
     tables: adapters.tables,
     logger,
@@ -120,10 +120,10 @@
       configuration: life.settings().configurationBoundMilliseconds,
       draining: life.settings().drainingBoundMilliseconds,
     }),
-    livingHosts: () => fleet.livingHosts(),
+    livePeerHosts: () => fleet.livingHosts(),
     isDelegating: () => fleet.isDelegating(),
     role: () => fleet.readingRole(),
-    onNews: () => fleet.onNews(),
+    onFreshnessChange: () => fleet.onNews(),
   });
 
   const entries = (): number => sendingEntries().count;
@@ -131,8 +131,8 @@
   const coldShare = createColdShare(sendingEntries, monotonicClock);
   catalog.onChange(() => {
     const { servers } = catalog.servers();
-    for (const memory of [ledger, liveness, pulse, coldShare, statements]) {
-      memory.keepOnly(servers);
+    for (const tracker of [ledger, liveness, pulse, coldShare, statements]) {
+      tracker.keepOnly(servers);
     }
   });
 
@@ -201,7 +201,7 @@
       : createCallerListener({
           ...settings.callerAddress,
           context,
-          isOutdated: () => knowledge.isOutdated(),
+          isOutdated: () => catalogSync.isOutdated(),
           lingerMilliseconds: LINGER_MILLISECONDS,
         });
 
@@ -217,9 +217,9 @@
       host: settings.host,
       port: settings.peerPort,
       logger,
-      respondWithCopy: knowledge.respondWithCopy,
+      respondWithCopy: catalogSync.respondWithCopy,
     });
-    knowledge.start();
+    catalogSync.start();
     await listener?.start();
   } catch (thrown) {
     await endUnstarted(life, thrown);
--- a/packages/direct-entry/src/start-fleet.ts
+++ b/packages/direct-entry/src/start-fleet.ts
@@ -17,7 +17,7 @@
 import type { Metrics } from '@lapisbridge/metrics';
 import type { ProcessSettings } from '@lapisbridge/process-life';
 
-import type { Knowledge } from './knowledge.js';
+import type { CatalogSync } from './catalog-sync.js';
 
 export interface StartFleetOptions {
   settings(): ProcessSettings;
@@ -32,7 +32,7 @@
   /** Entries to reckon with, given those that are known. */
   fleetSize(known: number): number;
   /** Knowledge and fleet need each other, so it is looked up when used. */
-  knowledge(): Knowledge;
+  catalogSync(): CatalogSync;
 }
 
 export interface StartedFleet {
@@ -41,7 +41,7 @@
 }
 
 /** News that arrive together are told together. */
-const WAKE_MILLISECONDS = 5;
+const TICK_DELAY_MILLISECONDS = 5;
 
 function profilesOf(catalog: Catalog): Record<string, GroupProfile> {
   const known: Record<string, GroupProfile> = {};
@@ -72,7 +72,7 @@
   const self = { instanceId, host, role: InstanceRole.Entry, availabilityZone };
   /** Instance ids of the backend servers that are a rank. */
   const serversByRank = new Map<string, string[]>();
-  let isWoken = false;
+  let isTickScheduled = false;
 
   catalog.onChange(() => {
     serversByRank.clear();
@@ -83,7 +83,7 @@
     }
   });
 
-  function takeLoads(loads: readonly RankLoad[]): void {
+  function applyLoads(loads: readonly RankLoad[]): void {
     for (const load of loads) {
       groupHealth.reported(load, load.ageMilliseconds);
       for (const serverId of serversByRank.get(rankKey(load)) ?? []) {
@@ -93,13 +93,13 @@
     }
   }
 
-  function wake(): void {
-    if (isWoken) return;
-    isWoken = true;
+  function scheduleTick(): void {
+    if (isTickScheduled) return;
+    isTickScheduled = true;
     setTimeout(() => {
-      isWoken = false;
+      isTickScheduled = false;
       fleet.tick();
-    }, WAKE_MILLISECONDS);
+    }, TICK_DELAY_MILLISECONDS);
   }
 
   function tick(): void {
@@ -120,13 +120,13 @@
     sidecars: () => sidecarsOf(catalog),
     fleetSize: () => options.fleetSize(fleet.entryIds().length),
     profiles: () => profilesOf(catalog),
-    freshness: () => options.knowledge().freshness(),
-    onFreshness: (from, freshness) => options.knowledge().onPeerState(from, freshness),
+    freshness: () => options.catalogSync().freshness(),
+    onFreshness: (from, freshness) => options.catalogSync().onPeerFreshness(from, freshness),
     rateLimits: () => rateLimits.statements(),
     onRateLimits: (statements) => rateLimits.onTold(statements),
-    onLoads: takeLoads,
+    onLoads: applyLoads,
     send: (to, message) => link.send(to, message),
-    wake,
+    wake: scheduleTick,
     now: monotonicClock,
     random,
   });
