--- a/packages/soak/src/callers.ts
+++ b/packages/soak/src/callers.ts
@@ -10,10 +10,10 @@
 import { Ran } from '@lapisbridge/types';
 import {
   BOOKING_PREFIX,
-  callAsCaller,
   eventText,
   LOOK_UP_PREFIX,
   plainBody,
+  sendCallerRequest,
   STREAM_EVENTS,
   STREAM_PREFIX,
 } from '@lapisbridge/users-platform';
@@ -66,7 +66,7 @@
   let served = 0;
 
   function check(requestId: string, kind: Kind, outcome: CallerOutcome): boolean {
-    const { status, isWhole, isSigned, text } = outcome;
+    const { status, isComplete, isSigned, text } = outcome;
     if (DENIALS.has(status)) violations.push(`denied: ${requestId} got ${status}`);
     const isSuccess = status >= 200 && status < 300;
     if (!isSuccess) return false;
@@ -74,16 +74,16 @@
     if (outcome.requestId !== requestId) violations.push(`foreign: ${requestId} got another's`);
     const expected = expectedText(kind, requestId);
     // One that is broken off visibly counts as told; the code only has to be there.
-    const code = isWhole ? undefined : status;
+    const code = isComplete ? undefined : status;
     history.record({
       kind: EventKind.Answer,
       request: requestId,
       text,
       expected,
-      complete: isWhole,
+      complete: isComplete,
       ...(code === undefined ? {} : { code }),
     });
-    return isWhole && text === expected;
+    return isComplete && text === expected;
   }
 
   async function call(entry: number, kind: Kind): Promise<boolean> {
@@ -95,17 +95,17 @@
     const before = program.stops();
     site.noteEntry(requestId, program.name);
     history.record({ kind: EventKind.Invoke, request: requestId, callKey: requestId });
-    const outcome = await callAsCaller({
+    const outcome = await sendCallerRequest({
       ...site.callersAt(entry),
       requestId,
       path: `${PREFIXES[kind]}${requestId}`,
       method: kind === Kind.LookUp ? 'GET' : 'POST',
       key,
-      patienceMilliseconds: PATIENCE_MILLISECONDS,
-      gapMilliseconds: kind === Kind.Stream ? STREAM_GAP_MILLISECONDS : undefined,
+      timeoutMilliseconds: PATIENCE_MILLISECONDS,
+      abandonAfterPauseMilliseconds: kind === Kind.Stream ? STREAM_GAP_MILLISECONDS : undefined,
       agent,
     });
-    if (outcome.hasLeft) site.abandonmentWatch.onLeft(requestId);
+    if (outcome.hasAbandoned) site.abandonmentWatch.onLeft(requestId);
     history.record({
       kind: EventKind.Reply,
       request: requestId,
@@ -116,7 +116,7 @@
     const after = program.stops();
     // Sent before the stop was asked for, and ended without an answer while it went on.
     const isInStop = after.asked > before.asked && before.asked === before.ended;
-    if (outcome.status === 0 && outcome.wasConnected && !outcome.hasLeft && isInStop) {
+    if (outcome.status === 0 && outcome.wasConnected && !outcome.hasAbandoned && isInStop) {
       history.record({ kind: EventKind.Stopped, instanceId: program.name, cutOff: 1 });
     }
     const isServed = check(requestId, kind, outcome);
--- a/packages/soak/src/inject-fault.ts
+++ b/packages/soak/src/inject-fault.ts
@@ -18,8 +18,8 @@
   [FaultKind.StoreDown]: StoreFault.Down,
   [FaultKind.StoreSilent]: StoreFault.Silent,
   [FaultKind.StoreSlow]: StoreFault.Slow,
-  [FaultKind.StoreLosesAnswers]: StoreFault.LosesAnswers,
-  [FaultKind.StoreForgetful]: StoreFault.Forgetful,
+  [FaultKind.StoreLosesAnswers]: StoreFault.DropsWriteAnswers,
+  [FaultKind.StoreForgetful]: StoreFault.HistoryDropped,
 };
 
 const LINK_MODES: Readonly<Partial<Record<FaultKind, LinkMode>>> = {
@@ -101,15 +101,15 @@
     }
     case FaultKind.BadAnswers: {
       const { runner } = pick(servers, target);
-      runner.badShare = BAD_SHARE;
+      runner.faultRatio = BAD_SHARE;
       return () => {
-        runner.badShare = 0;
+        runner.faultRatio = 0;
       };
     }
     case FaultKind.LateOrders:
-      site.group.lateShare = LATE_SHARE;
+      site.group.delayedOrderRatio = LATE_SHARE;
       return () => {
-        site.group.lateShare = 0;
+        site.group.delayedOrderRatio = 0;
       };
     case FaultKind.LinkDelayed:
     case FaultKind.LinkReset:
--- a/packages/soak/src/site.ts
+++ b/packages/soak/src/site.ts
@@ -153,7 +153,7 @@
       onLeavingStated(requestId) {
         departureWatch.onStated(instanceId, entryOf.get(requestId) ?? '');
       },
-      onBackoffAsked(requestId, milliseconds) {
+      onBackoffRequested(requestId, milliseconds) {
         backoffWatch.onAsked(instanceId, entryOf.get(requestId) ?? '', milliseconds);
       },
     });
