--- a/packages/direct-entry/src/adapters.ts
+++ b/packages/direct-entry/src/adapters.ts
@@ -1,28 +1,31 @@
 /**
- * What a platform brings: how its store is called, how its tables read, and how its callers and
- * backend servers speak.
+ * Interfaces that a platform implements for the entry program: a client of its store, decoders of
+ * its tables, and the protocol of its callers and backend servers.
  */
 import type { OperatorState, ServerList, Store, StoreRow } from '@lapisbridge/catalog';
 import type { CallerProtocol } from '@lapisbridge/forwarding';
 import type { Address } from '@lapisbridge/json-call';
 
-/** By key. */
+/** Rows of one table by key. */
 export type TableRows = ReadonlyMap<string, StoreRow>;
 
-/** The store's two tables that entries follow. */
+/** Names and decoders of the two tables that entries follow. */
 export interface TableAdapter {
   readonly operatorsTable: string;
   readonly serversTable: string;
-  /** Rows that cannot be read are left out. */
+  /** Decodes the operators' table; rows that are invalid are ignored. */
   decodeOperatorState(rows: TableRows, revision: number): OperatorState;
+  /** Decodes the servers' table; rows that are invalid are ignored. */
   decodeServerList(rows: TableRows, revision: number): ServerList;
 }
 
+/** Address and timeout of the store. */
 export interface StoreOptions extends Address {
-  /** For one call, beyond the wait that it asks for. */
+  /** Timeout of one call, in addition to the time for which the store may hold it. */
   readonly timeoutMilliseconds: number;
 }
 
+/** Everything that the entry program needs from a platform. */
 export interface EntryAdapters {
   readonly protocol: CallerProtocol;
   readonly tables: TableAdapter;
--- a/packages/direct-entry/src/catalog-sync-simulation.ts
+++ b/packages/direct-entry/src/catalog-sync-simulation.ts
@@ -1,6 +1,7 @@
 /**
- * Many entries in simulated time for tests: their knowledge and their part of the fleet as in the program,
- * and a store that changes the configuration, answers some entries and turns others away.
+ * Simulates the catalog sync of many entries for tests, in simulated time. Catalog sync and fleet
+ * membership are the real implementations; the store changes the configuration and refuses calls of
+ * selected entries.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
@@ -18,37 +19,45 @@
 import { createCatalogSync } from './catalog-sync.js';
 import type { CatalogSync } from './catalog-sync.js';
 
+/** Size and timing of the simulated fleet. */
 export interface CatalogSyncSimulationOptions {
   readonly seed: number;
   readonly zones: number;
   readonly entries: number;
-  /** Time of a message between entries on its way. */
+  /** One-way delay of a message between entries. */
   readonly delayMilliseconds: number;
   readonly configurationBoundMilliseconds: number;
   readonly drainingBoundMilliseconds: number;
 }
 
+/** A running simulation and the faults that tests inject. */
 export interface CatalogSyncSimulation {
   readonly fleet: PlayedFleet;
   now(): number;
+  /** Advances the simulated time. */
   run(milliseconds: number): Promise<void>;
   entriesWithRole(role: ReadingRole): readonly PlayedEntry[];
-  /** Lets the store answer no call of an entry but with a refusal. */
+  /** Makes the store refuse every call of an entry. */
   refuseStoreCalls(instanceId: string): void;
   pause(instanceId: string): void;
   resume(instanceId: string): void;
   kill(instanceId: string): void;
+  /** Cuts off an availability zone from all other zones. */
   cutZone(zone: string): void;
-  /** Writes a new version. */
+  /** Writes a new version of the configuration. */
   changeConfiguration(): void;
-  /** Milliseconds from the last change until it was in force, by entry; infinite where it is not. */
+  /**
+   * Milliseconds from the last change until it was in force, by instance id; `Infinity` where it is
+   * not in force.
+   */
   propagationDelays(): ReadonlyMap<string, number>;
 }
 
 const OPERATORS = 'operators';
-/** Between two steps of simulated time. */
+/** Resolution of the simulated time. */
 const STEP_MILLISECONDS = 2;
 const START_SPREAD_MILLISECONDS = 300;
+/** One-way delay between an entry and the store. */
 const STORE_LATENCY_MILLISECONDS = 2;
 const STORE_TIMEOUT_MILLISECONDS = 700;
 const FETCH_TIMEOUT_MILLISECONDS = 400;
@@ -85,6 +94,7 @@
   });
 }
 
+/** Starts a simulation; requires the fake timers of vitest. */
 export function simulateCatalogSync(options: CatalogSyncSimulationOptions): CatalogSyncSimulation {
   const random = createRandom(options.seed);
   const catalogSyncs = new Map<string, CatalogSync>();
@@ -92,7 +102,7 @@
   const appliedAt = new Map<string, Map<number, number>>();
   const refusedByStore = new Set<string>();
   const dead = new Set<string>();
-  /** Resolved when the entry goes on. */
+  /** Paused entries; `until` resolves when the entry resumes. */
   const paused = new Map<string, { readonly until: Promise<void>; resume(): void }>();
   let cutZone: string | undefined;
   let revision = 1;
@@ -124,7 +134,7 @@
     return [{ table, part: '', key: 'version', value, revision }];
   }
 
-  /** Rejects when the whole call takes longer than the time, whether or not the entry stood still. */
+  /** Rejects if a call takes longer than its timeout; time for which the entry is paused counts. */
   async function callWithTimeout<T>(
     instanceId: string,
     timeoutMilliseconds: number,
@@ -142,7 +152,7 @@
     await sleep(STORE_LATENCY_MILLISECONDS);
     if (!refusedByStore.has(instanceId) && !dead.has(instanceId)) return;
     await sleep(STORE_LATENCY_MILLISECONDS);
-    throw new Error('turned away');
+    throw new Error('call refused');
   }
 
   function waitForChange(milliseconds: number): Promise<void> {
--- a/packages/direct-entry/src/catalog-sync.test.ts
+++ b/packages/direct-entry/src/catalog-sync.test.ts
@@ -6,7 +6,7 @@
 
 const BOUND_MILLISECONDS = 4000;
 const SETTLE_MILLISECONDS = 5000;
-/** Spread over the time that a call of a reader waits at the store. */
+/** Spread over the time for which the store holds a reader's call. */
 const FAULT_OFFSETS_MILLISECONDS = [0, 500, 1000, 1500, 2000, 2500];
 
 beforeEach(() => {
@@ -31,7 +31,7 @@
   return simulation;
 }
 
-/** Milliseconds until the last entry had the change, those left out that a fault has struck. */
+/** Milliseconds until the last entry had a change in force, not counting the failed entries. */
 async function longestPropagationDelay(
   simulation: CatalogSyncSimulation,
   failedEntries: ReadonlySet<string> = new Set(),
@@ -49,10 +49,10 @@
   return new Set(simulation.entriesWithRole(ReadingRole.Reader).map(({ name }) => name.instanceId));
 }
 
-describe('an entry that the store answers', () => {
-  // Guards against copies that entries confirm to each other although the store has a newer one.
+describe('an entry whose calls the store accepts', () => {
+  // Guards against entries that confirm copies to each other although the store has a newer one.
   it.each([1, 20])(
-    'has a change in force in time while the store turns the readers away, with messages of %i ms',
+    'has a change in force in time while the store refuses the readers, with a message delay of %i ms',
     async (delayMilliseconds) => {
       for (const faultOffset of FAULT_OFFSETS_MILLISECONDS) {
         const simulation = await startSettledSimulation(delayMilliseconds);
@@ -68,7 +68,7 @@
   );
 
   it.each([20])(
-    'has a change in force in time when the readers stop, with messages of %i ms',
+    'has a change in force in time when the readers stop, with a message delay of %i ms',
     async (delayMilliseconds) => {
       for (const faultOffset of FAULT_OFFSETS_MILLISECONDS) {
         const simulation = await startSettledSimulation(delayMilliseconds);
@@ -81,9 +81,9 @@
     },
   );
 
-  // Guards against a zone that goes on confirming its copy to itself.
+  // Guards against entries of a zone that keep confirming an outdated copy to each other.
   it.each([1, 20, 100])(
-    'has a change in force in time in a zone without readers that is cut off, with messages of %i ms',
+    'has a change in force in time in a zone without readers that is cut off, with a message delay of %i ms',
     async (delayMilliseconds) => {
       for (const faultOffset of FAULT_OFFSETS_MILLISECONDS) {
         const simulation = await startSettledSimulation(delayMilliseconds);
--- a/packages/direct-entry/src/catalog-sync.ts
+++ b/packages/direct-entry/src/catalog-sync.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps an entry's catalog: the store's two tables, read by a few entries, and other entries'
- * copies of them for everyone else. A store that turns some instances away still serves the
- * operators, so a removed key or a new route may be known to others only.
+ * Keeps an entry's catalog up to date. A few entries read the two tables of the store; all others
+ * fetch their copies. A store that refuses calls of some entries may still accept changes from
+ * operators, so a removed API key or a new route may be known to other entries only.
  */
 import {
   decodeFreshnessReport,
@@ -28,30 +28,34 @@
 import { createCopyResponder, FollowedTable } from './copy-exchange.js';
 import type { CopyResponder, FetchedCopy } from './copy-exchange.js';
 import { createCopyFreshness } from './copy-freshness.js';
-import { planStoreReads, SERVERS_LONG_POLL_MILLISECONDS } from './plan-store-reads.js';
-import type { PropagationBounds, StoreReadPlan } from './plan-store-reads.js';
+import { planStoreReads, SERVERS_LONG_POLL_MILLISECONDS } from './plan-reading.js';
+import type { PropagationBounds, StoreReadPlan } from './plan-reading.js';
 
-/** Silence of the store beyond a call's own wait after which a copy is asked of another entry. */
+/**
+ * Age of a copy, beyond the usual interval between reads, at which it is fetched from another
+ * entry.
+ */
 const STORE_SILENCE_MILLISECONDS = 300;
 const PEER_FETCH_INTERVAL_MILLISECONDS = 500;
-/** Knowledge older than this may lack what operators have added since. */
+/** An older copy of the operators' table may lack recent changes. */
 const OUTDATED_MILLISECONDS = 4000;
-/** Time without confirmation after which rows of living servers may have lapsed. */
+/** Time without a confirmation after which rows of running servers may have expired. */
 const OUTAGE_MILLISECONDS = 3000;
-/** An entry that reads a table itself waits so long for its own call to bring a change. */
+/** Time for which a reader waits for its own call to return a change that peers have. */
 const OWN_READ_GRACE_MILLISECONDS = 400;
-/** Time for peers to give a newer copy before the store is asked. */
+/** Time to get a newer copy from peers before calling the store for it. */
 const PEER_COPY_GRACE_MILLISECONDS = 300;
-/** Head start of a zone's primary in fetching a copy from another zone. */
+/** Delay of other entries after their zone's primary when fetching a copy from another zone. */
 const FETCH_STAGGER_MILLISECONDS = 150;
-/** Between two lines about fetches that failed. */
+/** Shortest interval between two log lines about failed fetches. */
 const FETCH_LOG_INTERVAL_MILLISECONDS = 1000;
-/** Longest pause between tries while the store does not answer. */
+/** Upper bounds of the backoff while calls to the store fail. */
 const MAXIMUM_DELEGATE_RETRY_MILLISECONDS = 800;
 const MAXIMUM_FOLLOWER_RETRY_MILLISECONDS = 3000;
 
+/** The store, the fleet and the catalog that the sync connects. */
 export interface CatalogSyncOptions {
-  /** Kept up to date. */
+  /** The catalog to update. */
   readonly catalog: Catalog;
   readonly store: Store;
   readonly tables: TableAdapter;
@@ -59,46 +63,51 @@
   readonly random: Random;
   readonly availabilityZone: string;
   readonly now: MonotonicClock;
-  /** Asks another entry for its copy. Rejects when no answer came. */
+  /** Fetches another entry's copy if it is newer than a revision; rejects without a response. */
   fetchCopy(host: string, table: FollowedTable, since: number): Promise<FetchedCopy | undefined>;
+  /** Times within which changes must be in force. */
   bounds(): PropagationBounds;
-  /** Whether some entries read the store for others. */
+  /** Whether some entries read the store on behalf of others. */
   isDelegating(): boolean;
-  /** This entry's part in reading the store. */
+  /** This entry's role in reading the store. */
   role(): ReadingRole;
-  /** Hosts of other entries that live. */
+  /** Hosts of the other entries that are alive. */
   livePeerHosts(): readonly string[];
-  /** Called when this entry has news for the others. */
+  /** Called when the content of a copy has changed, so that other entries are told at once. */
   onFreshnessChange(): void;
 }
 
+/** Keeps the catalog up to date once it is started. */
 export interface CatalogSync {
-  /** Answers other entries that ask for a copy. */
+  /** Handles requests of other entries for a copy. */
   readonly respondWithCopy: CopyResponder;
   start(): void;
-  /** Freshness of the copies, as told to other entries. */
+  /** Freshness reports on this entry's copies by table, as sent to other entries. */
   freshness(): JsonObject;
-  /** Takes the freshness that another entry tells. */
+  /** Handles the freshness reports of another entry; fetches its copies if they are newer. */
   onPeerFreshness(from: InstanceName, peerFreshness: JsonObject): void;
-  /** Whether operators may have added what this entry does not know. */
+  /** Whether the configuration may lack recent changes by operators. */
   isOutdated(): boolean;
 }
 
 const TABLES = Object.values(FollowedTable);
 
-/** Whether and since when an entry reads a table of the store for itself. */
+/** Whether this entry reads a table directly, and the age of its copy, for log lines. */
 interface DirectReadState {
   isReading: boolean;
-  /** Age of the copy when the latest call began. */
+  /** Age of the copy when the latest call or fetch began. */
   ageMilliseconds: number;
 }
 
-/** For logs; undefined where there is no such time. */
+/** Rounds a duration for log lines; undefined if it is not finite. */
 function roundFinite(milliseconds: number): number | undefined {
   return Number.isFinite(milliseconds) ? Math.round(milliseconds) : undefined;
 }
 
-/** Changes with everything but heartbeats. */
+/**
+ * Heartbeats do not change it. It hashes the JSON of the decoded servers, so entries whose
+ * `BackendServer` has other field names have other fingerprints.
+ */
 function fingerprintOfServers({ servers }: ServerList): string {
   return fingerprintOf([...servers.values()].map((server) => JSON.stringify(server)));
 }
@@ -107,6 +116,7 @@
   return fingerprintOf([...rows.values()].map(({ key, revision }) => `${key} ${revision}`));
 }
 
+/** Creates the sync of one entry; it makes no calls until `start`. */
 export function createCatalogSync(options: CatalogSyncOptions): CatalogSync {
   const { logger, random, tables, catalog, now } = options;
   const freshness = createCopyFreshness(now, (table) => followers[table]);
@@ -115,7 +125,7 @@
   let isStoreReachable = true;
   let recoveredAt = -Infinity;
   let serversAppliedAt = now();
-  /** Since when another entry has had a newer copy; undefined while none has. */
+  /** Time since which another entry has had a newer copy; undefined while none has. */
   const behindSince: Record<FollowedTable, number | undefined> = {
     [FollowedTable.Operators]: undefined,
     [FollowedTable.Servers]: undefined,
@@ -124,7 +134,7 @@
     [FollowedTable.Operators]: { isReading: true, ageMilliseconds: Infinity },
     [FollowedTable.Servers]: { isReading: true, ageMilliseconds: Infinity },
   };
-  /** Where the copy comes from that is being taken over; undefined for the store. */
+  /** Host of the entry whose copy is being applied; undefined if it is from the store. */
   let copySourceHost: string | undefined;
   let fetchLoggedAt = -Infinity;
   let failedFetches = 0;
@@ -138,14 +148,17 @@
   }
 
   function onStoreResult(table: FollowedTable, succeeded: boolean, reason: string): void {
-    // What the store itself has told just now is at least as new as what others reported.
+    // A response of the store is at least as new as the copies that others have reported.
     if (succeeded) behindSince[table] = undefined;
     if (succeeded === isStoreReachable) return;
     isStoreReachable = succeeded;
     logger.info(succeeded ? 'store regained' : 'store lost', { reason });
   }
 
-  /** To be called before a new confirmation of the servers' table is noted. */
+  /**
+   * Detects the end of an outage of the store. Must be called before a new confirmation of the
+   * servers' table is recorded.
+   */
   function onServersConfirmed(): void {
     const peerConfirmationAge = ageOf(
       freshness.latestConfirmation(FollowedTable.Servers)?.confirmedAt,
@@ -199,7 +212,10 @@
     }
   }
 
-  /** Milliseconds for which others read the table for this entry; 0 when it has to itself. */
+  /**
+   * Milliseconds for which this entry still relies on the reads of others; 0 if it has to call the
+   * store itself.
+   */
   function delegatedMilliseconds(table: FollowedTable): number {
     if (options.role() === ReadingRole.Reader) return 0;
     const behind = behindSince[table];
@@ -207,7 +223,7 @@
     return Math.max(0, directReadAgeOf(table) - freshness.ageMilliseconds(table));
   }
 
-  /** The same, when the table's follower is about to act on it. */
+  /** Returns `delegatedMilliseconds` for the table's follower, and logs when reading changes. */
   function updateDirectRead(table: FollowedTable): number {
     const delegated = delegatedMilliseconds(table);
     const isDelegated = delegated > 0;
@@ -225,7 +241,7 @@
     return delegated;
   }
 
-  /** The time is up for servers that had only lapsed. */
+  /** Applies the list again, without expired servers that have not registered since. */
   function dropExpiredServers(): void {
     const copy = followers[FollowedTable.Servers].copy();
     if (copy !== undefined) applyServers(copy.rows, copy.revision);
@@ -309,18 +325,18 @@
     }
   }
 
-  /** How long a newer copy may be known of before it is fetched. */
+  /** Delay before a newer copy that another entry has reported is fetched. */
   function fetchDelayMilliseconds(table: FollowedTable, isSameZone: boolean): number {
     const role = options.role();
     if (role === ReadingRole.Reader) {
       if (table === FollowedTable.Operators) return OWN_READ_GRACE_MILLISECONDS;
-      // Servers' rows are read at a slow pace, so a copy from next door is worth its bytes.
+      // Readers poll the servers' table slowly, so a copy from the same zone is worth its traffic.
       return isSameZone ? 0 : readPlan().serversPauseMilliseconds + OWN_READ_GRACE_MILLISECONDS;
     }
     return isSameZone || role === ReadingRole.Primary ? 0 : FETCH_STAGGER_MILLISECONDS;
   }
 
-  /** Fetches another entry's copy where it is newer and the own reading does not bring it. */
+  /** Fetches another entry's copy if it is newer and reading the store has not returned it. */
   function fetchIfBehind(table: FollowedTable, from: InstanceName, report: FreshnessReport): void {
     const own = versionOf(table);
     const isSame = report.fingerprint === own.fingerprint;
@@ -333,7 +349,7 @@
       void fetchFromPeer(table, from.host);
   }
 
-  /** Silence of the store that shows a call to be stuck or failing. */
+  /** Whether the copy is so old that a call to the store must be stuck or failing. */
   function isStoreSilent(table: FollowedTable): boolean {
     const { operatorsLongPollMilliseconds: operatorsWait, serversPauseMilliseconds: serversPause } =
       readPlan();
@@ -344,6 +360,7 @@
     return freshness.ageMilliseconds(table) > expectedAge + STORE_SILENCE_MILLISECONDS;
   }
 
+  /** Fetches tables that this entry cannot read from a random other entry. */
   function fetchStaleTables(): void {
     const hosts = options.livePeerHosts();
     const host = hosts[Math.floor(random() * hosts.length)];
--- a/packages/direct-entry/src/copy-exchange.ts
+++ b/packages/direct-entry/src/copy-exchange.ts
@@ -1,6 +1,6 @@
 /**
- * Copies of the store's tables between entries: served to those that ask, fetched from those that
- * have newer ones.
+ * Exchange of table copies between entries over HTTP: an entry serves its own copies and fetches
+ * newer ones from others.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
@@ -8,23 +8,30 @@
 import type { FreshnessReport, RowList, StoreRow } from '@lapisbridge/catalog';
 import { callJson, numberOf, textOf } from '@lapisbridge/json-call';
 
+/** The tables that entries follow; the values are part of the URL of a copy. */
 export enum FollowedTable {
-  /** What operators ask for. */
+  /** Configuration and drained availability zones. */
   Operators = 'operators',
+  /** Registered backend servers. */
   Servers = 'servers',
 }
 
+/** A copy that is complete as of its revision; rows are by key. */
 export interface TableCopy {
   readonly rows: ReadonlyMap<string, StoreRow>;
   readonly revision: number;
 }
 
+/** Response of another entry to a request for its copy. */
 export interface FetchedCopy {
-  /** Empty with revision 0 when the other entry has nothing newer. */
+  /** Empty with revision 0 if the other entry's copy is not newer. */
   readonly list: RowList;
-  /** Of the other entry's copy, newer or not. */
+  /** Fingerprint of the other entry's copy, newer or not. */
   readonly fingerprint: string;
-  /** When the store confirmed that copy, by its clock; undefined where it did not. */
+  /**
+   * When the store confirmed that copy, in milliseconds of the store's clock; undefined if it has
+   * not.
+   */
   readonly confirmedAt: number | undefined;
 }
 
@@ -32,7 +39,10 @@
 const FETCH_TIMEOUT_MILLISECONDS = 400;
 const TABLES: readonly string[] = Object.values(FollowedTable);
 
-/** Undefined where the answer is no copy. Rejects when no answer came. */
+/**
+ * Fetches another entry's copy if it is newer than a revision. Resolves to undefined if the
+ * response is not a valid copy; rejects if there is no response.
+ */
 export async function fetchCopy(
   host: string,
   port: number,
@@ -56,9 +66,11 @@
   };
 }
 
+/** Access to the copies of this entry. */
 export interface CopyResponderOptions {
+  /** Undefined before the table was first read. */
   copy(table: FollowedTable): TableCopy | undefined;
-  /** What this entry reports of its copy; undefined where the store has not confirmed it. */
+  /** This entry's report on its copy; undefined if the store has not confirmed it. */
   freshness(table: FollowedTable): FreshnessReport | undefined;
 }
 
@@ -67,13 +79,14 @@
   readonly text: string;
 }
 
-/** Answers a request for a copy; false where the path is none of a copy. */
+/** Handles a request for a copy; returns false if the path is not that of a copy. */
 export type CopyResponder = (incoming: IncomingMessage, response: ServerResponse) => boolean;
 
+/** Creates the handler of requests for copies; unknown or unread tables are answered with 404. */
 export function createCopyResponder(options: CopyResponderOptions): CopyResponder {
   const encoded = new Map<FollowedTable, EncodedCopy>();
 
-  /** All entries of a zone fetch the same revision within milliseconds: it is encoded once. */
+  /** Caches the encoding: all entries of a zone fetch the same revision within milliseconds. */
   function encode(table: FollowedTable, { rows, revision }: TableCopy): string {
     const cached = encoded.get(table);
     if (cached?.revision === revision) return cached.text;
--- a/packages/direct-entry/src/copy-freshness.ts
+++ b/packages/direct-entry/src/copy-freshness.ts
@@ -1,6 +1,6 @@
 /**
- * How fresh an entry's copies of the store's tables are: what the store has confirmed to the entry
- * itself and to others, and what the entry reports of it.
+ * Freshness of an entry's table copies. Combines the store's confirmations to this entry with those
+ * that other entries report, and builds this entry's own reports.
  */
 import { createFreshnessTracker, createStoreClock } from '@lapisbridge/catalog';
 import type {
@@ -14,26 +14,29 @@
 
 import { FollowedTable } from './copy-exchange.js';
 
+/** Freshness of the copies of both tables. */
 export interface CopyFreshness {
-  /** Of the store; told of each answer. */
+  /** Estimate of the store's clock; receives the time of each response. */
   readonly clock: StoreClock;
+  /** Version of this entry's copy; revision 0 before the first copy. */
   versionOf(table: FollowedTable): CopyVersion;
-  /** Takes the fingerprint of a copy that was taken over; false where it is the same as before. */
+  /** Sets the fingerprint of a new copy; returns false if the content is the same as before. */
   replaceFingerprint(table: FollowedTable, fingerprint: string): boolean;
-  /** Takes the report of another entry. */
+  /** Records the report of another entry. */
   onReport(table: FollowedTable, entry: string, report: FreshnessReport): void;
-  /** Milliseconds since a moment of the store's clock; infinite where there is none. */
+  /** Milliseconds since a time of the store's clock; `Infinity` if the time is undefined. */
   ageOf(storeTime: number | undefined): number;
-  /** Milliseconds since the store confirmed the copy to this entry itself. */
+  /** Milliseconds since the store confirmed the copy to this entry; `Infinity` if it has not. */
   ownAgeMilliseconds(table: FollowedTable): number;
-  /** Milliseconds since the store confirmed the copy to anyone; infinite where it has not. */
+  /** Milliseconds since the store confirmed the copy to any entry; `Infinity` if it has not. */
   ageMilliseconds(table: FollowedTable): number;
-  /** What this entry reports of its copy; undefined where the store has not confirmed it. */
+  /** This entry's report on its copy; undefined if the store has not confirmed it. */
   reportOf(table: FollowedTable): FreshnessReport | undefined;
-  /** The newest confirmation of any copy that others have reported. */
+  /** The latest confirmation of any copy that other entries have reported. */
   latestConfirmation(table: FollowedTable): Confirmation | undefined;
 }
 
+/** `now` is the local monotonic clock in milliseconds. */
 export function createCopyFreshness(
   now: () => number,
   follower: (table: FollowedTable) => TableFollower,
@@ -46,12 +49,12 @@
     [FollowedTable.Servers]: createFreshnessTracker(now, clock),
   };
 
-  /** Revision 0 before the first copy. */
   function versionOf(table: FollowedTable): CopyVersion {
     const revision = follower(table).copy()?.revision ?? 0;
     return { revision, fingerprint: fingerprints[table] };
   }
 
+  /** When the store confirmed the current content to other entries, by the store's clock. */
   function confirmedToPeersAt(table: FollowedTable): number | undefined {
     const version = versionOf(table);
     return version.revision === 0 ? undefined : trackers[table].confirmedAt(version);
@@ -64,7 +67,7 @@
   function ownAgeMilliseconds(table: FollowedTable): number {
     const own = follower(table).confirmation();
     if (own === undefined) return Infinity;
-    // A clock that was set back, or runs at another pace, cannot make an answer older than its call.
+    // A store clock that was set back or drifts must not make a response older than its call.
     return Math.min(ageOf(own.answeredAt), now() - own.requestedAt);
   }
 
--- a/packages/direct-entry/src/instance-listener.ts
+++ b/packages/direct-entry/src/instance-listener.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP address at which an entry answers other instances: copies of the store's tables, and
- * orders of a group's leader that are passed on to the sidecars of the zone.
+ * HTTP listener for other instances: serves copies of the store's tables to entries, and relays
+ * prepare orders of a group's leader to the sidecars of the availability zone.
  */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -11,6 +11,7 @@
 
 import type { CopyResponder } from './copy-exchange.js';
 
+/** Address of the listener, and the handler of requests for table copies. */
 export interface InstanceListenerOptions {
   readonly host: string;
   readonly port: number;
@@ -18,7 +19,7 @@
   readonly respondWithCopy: CopyResponder;
 }
 
-/** A leader sends one order a zone for each map. */
+/** Limit for the body of a prepare order; a leader sends one per availability zone and map. */
 const MAXIMUM_BODY_BYTES = 4_000_000;
 
 async function readBody(incoming: IncomingMessage): Promise<Buffer> {
@@ -26,7 +27,8 @@
   let size = 0;
   for await (const chunk of incoming) {
     size += (chunk as Buffer).length;
-    if (size > MAXIMUM_BODY_BYTES) throw new RangeError(`body over ${MAXIMUM_BODY_BYTES} bytes`);
+    if (size > MAXIMUM_BODY_BYTES)
+      throw new RangeError(`request body exceeds ${MAXIMUM_BODY_BYTES} bytes`);
     chunks.push(chunk as Buffer);
   }
   return Buffer.concat(chunks);
@@ -39,6 +41,7 @@
   response.end(JSON.stringify(outcomes));
 }
 
+/** Starts the listener; errors of its socket are logged and do not end the process. */
 export function startInstanceListener(options: InstanceListenerOptions): Server {
   const { logger } = options;
   const server = createServer((incoming, response) => {
@@ -50,12 +53,12 @@
       return;
     }
     relayPrepare(incoming, response).catch((thrown: unknown) => {
-      logger.warn('order not passed on', { reason: String(thrown) });
+      logger.warn('prepare order not relayed', { reason: String(thrown) });
       response.destroy();
     });
   });
   server.on('error', (error) =>
-    logger.error('instances are not answered', { reason: error.message }),
+    logger.error('instance listener failed', { reason: error.message }),
   );
   return server.listen(options.port, options.host);
 }
--- a/packages/direct-entry/src/estimate-entry-count.test.ts
+++ b/packages/direct-entry/src/plan-entries.test.ts
@@ -2,9 +2,9 @@
 import { createRandom, pickSome } from '@lapisbridge/kernel';
 import { expect, it } from 'vitest';
 
-import { estimateEntryCount } from './estimate-entry-count.js';
+import { estimateEntryCount } from './plan-entries.js';
 
-it('assumes others until they had time to be heard', () => {
+it('assumes a minimum until all entries have had time to be discovered', () => {
   const input = { knownEntries: 2, backendServers: 19 };
   expect(estimateEntryCount({ ...input, sinceStartMilliseconds: 100 })).toBe(8);
   expect(estimateEntryCount({ ...input, sinceStartMilliseconds: 6000 })).toBe(2);
@@ -14,10 +14,10 @@
 });
 
 it.each([0, 1, 3, 8, 14, 20, 30, 45])(
-  'keeps a cold server within its bound while each entry knows about %i others',
+  'keeps a cold server within its limit while each entry knows about %i others',
   (others) => {
-    // All 46 entries lose power and start at once, and all servers are cold. Callers that waited are
-    // sent on in the first seconds, in which no entry knows how many others do the same.
+    // Guards against overloading cold servers after a power loss: all 46 entries start at once, and
+    // forward waiting requests in the first seconds, when none knows how many others do the same.
     const rate = 14;
     const random = createRandom(11);
     const names = Array.from({ length: 46 }, (_, index) => `entry-${index}`);
--- a/packages/direct-entry/src/plan-store-reads.test.ts
+++ b/packages/direct-entry/src/plan-reading.test.ts
@@ -2,13 +2,13 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 
-import { planStoreReads, SERVERS_LONG_POLL_MILLISECONDS } from './plan-store-reads.js';
+import { planStoreReads, SERVERS_LONG_POLL_MILLISECONDS } from './plan-reading.js';
 
 const BOUND = fc.integer({ min: 2000, max: 10_000 });
 
-describe('reading the store in a large fleet', () => {
-  it('is taken up by every entry before an order’s bound has passed', () => {
-    // Guards against a revoked key or a server that left being used when all readers die at once.
+describe('reading the store directly in a large fleet', () => {
+  it('starts on every entry before the bound of a change has passed', () => {
+    // Guards against using a revoked key or a server that has left after all readers stop at once.
     fc.assert(
       fc.property(BOUND, BOUND, (configuration, draining) => {
         const bounds = { configuration, draining };
@@ -22,8 +22,8 @@
     );
   });
 
-  it('is taken up with time left for a call that is never answered and one more', () => {
-    // Guards against a change that is not in force in time because an entry’s first own call is lost.
+  it('starts early enough for a call that times out and one more call', () => {
+    // Guards against a change that is in force too late because an entry's first call is lost.
     const STORE_TIMEOUT_MILLISECONDS = 700;
     const PAUSE_AND_CALL_MILLISECONDS = 200;
     const needed = STORE_TIMEOUT_MILLISECONDS + PAUSE_AND_CALL_MILLISECONDS;
@@ -33,17 +33,17 @@
         const plan = planStoreReads({ bounds, isDelegating: true, role });
         expect(bound - plan.operatorsDirectReadAgeMilliseconds).toBeGreaterThanOrEqual(needed);
         expect(bound - plan.serversDirectReadAgeMilliseconds).toBeGreaterThanOrEqual(needed);
-        // A call that waits at the store would confirm nothing in that time.
+        // A call that the store holds would confirm nothing in that time.
         expect(plan.operatorsLongPollMilliseconds).toBe(0);
         expect(plan.serversLongPollMilliseconds).toBe(0);
-        // Guards against calls without end where answers do not make a copy fresh.
+        // Guards against endless calls if responses do not make a copy fresh.
         expect(plan.operatorsPauseMilliseconds).toBeGreaterThan(100);
       }
     }
   });
 
   it('is left to the readers while their reports arrive in time', () => {
-    // Guards against a fleet that calls the store for every change although two entries read it.
+    // Guards against calls of all entries for every change although two entries read for them.
     fc.assert(
       fc.property(BOUND, BOUND, (configuration, draining) => {
         const bounds = { configuration, draining };
@@ -59,7 +59,7 @@
     );
   });
 
-  it('is taken up by a zone’s primary first, unless a short bound leaves no time', () => {
+  it('starts on a zone’s primary first, unless a short bound leaves no time', () => {
     const bounds = { configuration: 4000, draining: 4000 };
     const directReadAge = (role: ReadingRole): number =>
       planStoreReads({ bounds, isDelegating: true, role }).serversDirectReadAgeMilliseconds;
--- a/packages/direct-entry/src/plan-store-reads.ts
+++ b/packages/direct-entry/src/plan-reading.ts
@@ -1,60 +1,66 @@
 /**
- * How often the store's tables are read, and by whom. In a large fleet the primaries of a few
- * zones read; every other entry relies on their reports, and reads for itself once the age of the
- * newest report passes a limit. Limits stay below the bounds within which orders must be in force
- * and leave the delegates a head start, so that a whole zone does not call the store at once. Pure.
+ * Plans how often an entry reads the store's tables. In a large fleet only the primaries of a few
+ * availability zones read; every other entry relies on their reports and reads directly once the
+ * newest report is too old. That age is below the bounds within which changes must be in force, and
+ * is staggered by role: delegates read first, so that a whole zone does not call the store at once.
+ * Pure.
  */
 import { ReadingRole } from '@lapisbridge/fleet';
 
-/** Times within which accepted orders must be in force, in milliseconds. */
+/** Times within which accepted changes must be in force on every entry, in milliseconds. */
 export interface PropagationBounds {
   readonly configuration: number;
-  /** For a backend server that is leaving. */
+  /** For a backend server that has started to drain. */
   readonly draining: number;
 }
 
+/** Intervals of an entry's calls to the store. */
 export interface StoreReadPlan {
-  /** How long one call for changes of the operators' table waits at the store. */
+  /** Time for which the store may hold a call for changes of the operators' table. */
   readonly operatorsLongPollMilliseconds: number;
-  /** Between two reads of the operators' table. */
+  /** Pause between two calls for the operators' table. */
   readonly operatorsPauseMilliseconds: number;
-  /** How long one call for changes of the servers' table waits at the store. */
+  /** Time for which the store may hold a call for changes of the servers' table. */
   readonly serversLongPollMilliseconds: number;
-  /** Between two reads of the servers' table. */
+  /** Pause between two calls for the servers' table. */
   readonly serversPauseMilliseconds: number;
-  /** Ages of the newest report at which an entry reads the tables itself. */
+  /** Age of the newest report at which an entry reads the operators' table directly. */
   readonly operatorsDirectReadAgeMilliseconds: number;
+  /** The same for the servers' table. */
   readonly serversDirectReadAgeMilliseconds: number;
 }
 
+/** What the plan depends on. */
 export interface StoreReadsInput {
   readonly bounds: PropagationBounds;
-  /** Whether some entries read for others. */
+  /** Whether the fleet is so large that some entries read on behalf of others. */
   readonly isDelegating: boolean;
   readonly role: ReadingRole;
 }
 
-/** Servers' rows change several times a second, so one call waits only for a moment. */
+/** Rows of servers change several times per second, so a call is held only briefly. */
 export const SERVERS_LONG_POLL_MILLISECONDS = 300;
-/** From a reader over two digests to an entry of another zone. */
+/** Time for a report to reach an entry of another zone: it is relayed in two digests. */
 const REPORT_RELAY_MILLISECONDS = 800;
 /**
- * Part of a bound that is left when an entry begins to read for itself, and its most: for a report
- * that waited on its way, a call that fails, and one more call.
+ * Part of a bound that must remain when an entry starts to read directly: time for a delayed
+ * report, a failed call and one more call.
  */
 const RESERVE_RATIO = 0.3;
+/** Upper bound of that part. */
 const MAXIMUM_RESERVE_MILLISECONDS = 1000;
-/** Between calls that do not wait at the store. */
+/** Pause between calls that the store answers immediately. */
 const IMMEDIATE_CALL_PAUSE_MILLISECONDS = 300;
 const MAXIMUM_LONG_POLL_MILLISECONDS = 2500;
 const MINIMUM_LONG_POLL_MILLISECONDS = 300;
 const MINIMUM_PAUSE_MILLISECONDS = 900;
 const MAXIMUM_PAUSE_MILLISECONDS = 1300;
-/** The same for readers, whose copies others wait for. */
+/** Shorter for readers, because other entries wait for their copies. */
 const MINIMUM_READER_PAUSE_MILLISECONDS = 300;
-/** Head start of a zone's primary before its second delegate, and of that before the others. */
+/** Delay of a zone's second delegate after its primary, and of the other entries after that. */
 const STAGGER_MILLISECONDS = 200;
 
+/** Number of stagger delays after which a role starts to read directly. */
 const STAGGER_STEPS: Readonly<Record<ReadingRole, number>> = {
   [ReadingRole.Reader]: 0,
   [ReadingRole.Primary]: 0,
@@ -66,11 +72,12 @@
   return Math.max(minimum, Math.min(maximum, value));
 }
 
-/** Age of a copy at which every entry reads the table itself, whatever its role. */
+/** Age of a copy at which an entry of any role reads the table directly. */
 function latestDirectReadAge(bound: number): number {
   return bound - Math.min(MAXIMUM_RESERVE_MILLISECONDS, bound * RESERVE_RATIO);
 }
 
+/** Plans the calls of an entry for both tables. */
 export function planStoreReads({ bounds, isDelegating, role }: StoreReadsInput): StoreReadPlan {
   if (!isDelegating) {
     return {
@@ -101,7 +108,7 @@
     (STAGGER_STEPS[ReadingRole.Follower] - STAGGER_STEPS[role]) * STAGGER_MILLISECONDS;
   const expectedAge = (readInterval: number): number => readInterval + REPORT_RELAY_MILLISECONDS;
   return {
-    // Only a reader waits at the store: another entry needs the confirmation that is overdue.
+    // The store holds only readers' calls: other entries need the overdue confirmation at once.
     operatorsLongPollMilliseconds: isReader ? readerLongPollMilliseconds : 0,
     operatorsPauseMilliseconds: isReader ? 0 : IMMEDIATE_CALL_PAUSE_MILLISECONDS,
     serversLongPollMilliseconds: isReader ? SERVERS_LONG_POLL_MILLISECONDS : 0,
--- a/packages/direct-entry/src/start-entry.ts
+++ b/packages/direct-entry/src/start-entry.ts
@@ -1,5 +1,6 @@
 /**
- * The entry program: takes callers' requests and forwards them to backend servers.
+ * The entry program: accepts callers' requests and forwards them to backend servers. This module
+ * creates its parts and connects them.
  */
 import { createServer } from 'node:http';
 
@@ -29,12 +30,15 @@
 import { startInstanceListener } from './instance-listener.js';
 import { createCatalogSync } from './catalog-sync.js';
 import type { CatalogSync } from './catalog-sync.js';
-import { estimateEntryCount } from './estimate-entry-count.js';
+import { estimateEntryCount } from './plan-entries.js';
 import { startFleet } from './start-fleet.js';
 
-/** Longest wait for an answer of the store, beyond the wait that was asked for. */
+/** Timeout of a call to the store, in addition to the time for which the store may hold it. */
 const STORE_TIMEOUT_MILLISECONDS = 700;
-/** The balancer takes an instance out after two missed checks, one a second. */
+/**
+ * Time for which a stopping entry still accepts connections: the load balancer checks once per
+ * second and removes an instance after two failed checks.
+ */
 const LINGER_MILLISECONDS = 2600;
 
 function serveReadiness(address: Address, isReady: () => boolean): Promise<void> {
--- a/packages/direct-entry/src/start-fleet.ts
+++ b/packages/direct-entry/src/start-fleet.ts
@@ -1,5 +1,6 @@
 /**
- * Connects an entry's part of the fleet with its catalog, its ledger of servers and its socket.
+ * Connects an entry's fleet membership with its catalog, its records of backend servers and its
+ * UDP socket.
  */
 import type { Catalog } from '@lapisbridge/catalog';
 import { createDatagramLink, createEntryFleet, InstanceRole } from '@lapisbridge/fleet';
@@ -19,6 +20,7 @@
 
 import type { CatalogSync } from './catalog-sync.js';
 
+/** Parts of the entry that exchange state with the fleet. */
 export interface StartFleetOptions {
   settings(): ProcessSettings;
   readonly catalog: Catalog;
@@ -29,20 +31,22 @@
   readonly logger: Logger;
   readonly metrics: Metrics;
   readonly random: Random;
-  /** Entries to reckon with, given those that are known. */
+  /** Estimates the number of entries from the number of known ones. */
   fleetSize(known: number): number;
-  /** Knowledge and fleet need each other, so it is looked up when used. */
+  /** A function, since the catalog sync and the fleet depend on each other. */
   catalogSync(): CatalogSync;
 }
 
+/** An entry's fleet membership; it sends and receives nothing until `start`. */
 export interface StartedFleet {
   readonly fleet: EntryFleet;
   start(): Promise<void>;
 }
 
-/** News that arrive together are told together. */
+/** Delay before an early tick, so that changes that arrive together are sent together. */
 const TICK_DELAY_MILLISECONDS = 5;
 
+/** Profiles of the services whose models have experts, by service name. */
 function profilesOf(catalog: Catalog): Record<string, GroupProfile> {
   const known: Record<string, GroupProfile> = {};
   for (const { name, engine } of catalog.operatorState().configuration?.services.values() ?? []) {
@@ -53,7 +57,7 @@
   return known;
 }
 
-/** Backend servers that have a sidecar: those of lock-step groups. */
+/** Addresses of the sidecars: only members of lock-step groups have one. */
 function sidecarsOf(catalog: Catalog): SidecarAddress[] {
   const sidecars = new Map<string, SidecarAddress>();
   for (const { host, availabilityZone, groupRank } of catalog.servers().servers.values()) {
@@ -66,11 +70,12 @@
   return `${group}\u0000${rank}`;
 }
 
+/** Creates the fleet membership of this entry and its metrics. */
 export function startFleet(options: StartFleetOptions): StartedFleet {
   const { catalog, ledger, liveness, groupHealth, rateLimits, logger, random, metrics } = options;
   const { instanceId, host, availabilityZone, peerPort } = options.settings();
   const self = { instanceId, host, role: InstanceRole.Entry, availabilityZone };
-  /** Instance ids of the backend servers that are a rank. */
+  /** Instance ids of the backend servers of each rank, by `rankKey`. */
   const serversByRank = new Map<string, string[]>();
   let isTickScheduled = false;
 
