--- a/packages/catalog/src/catalog.test.ts
+++ b/packages/catalog/src/catalog.test.ts
@@ -2,7 +2,7 @@
 
 import { createCatalog } from './catalog.js';
 import { followTable } from './follow-table.js';
-import { LAPSE_MILLISECONDS, retainLapsed } from './retain-lapsed.js';
+import { REREGISTRATION_MILLISECONDS, retainExpiredServers } from './retain-expired-servers.js';
 import { createStoreClock } from './store-clock.js';
 import { FeedKind } from './store.js';
 import type { Feed, RowList, Store, StoreRow } from './store.js';
@@ -40,46 +40,57 @@
 
 describe('a catalog', () => {
   it('never goes back to an older configuration', () => {
-    // A peer that lags, or a store that answers from behind, brings back a key that was removed.
+    // Guards against a lagging peer, or a stale read of the store, that restores a removed API key.
     const catalog = createCatalog();
     const drainedZones = new Set<string>();
-    catalog.replaceOperators({ revision: 5, configuration: configuration(7), drainedZones });
+    catalog.replaceOperatorState({ revision: 5, configuration: configuration(7), drainedZones });
     expect(
-      catalog.replaceOperators({ revision: 4, configuration: configuration(6), drainedZones }),
+      catalog.replaceOperatorState({ revision: 4, configuration: configuration(6), drainedZones }),
     ).toBe(false);
-    catalog.replaceOperators({ revision: 6, configuration: configuration(6), drainedZones });
-    expect(catalog.operators().configuration?.version).toBe(7);
+    catalog.replaceOperatorState({ revision: 6, configuration: configuration(6), drainedZones });
+    expect(catalog.operatorState().configuration?.version).toBe(7);
   });
 
-  it('keeps its configuration when the row turns unreadable', () => {
+  it('keeps its configuration when the row becomes invalid', () => {
     const catalog = createCatalog();
     const drainedZones = new Set<string>();
-    catalog.replaceOperators({ revision: 5, configuration: configuration(7), drainedZones });
-    catalog.replaceOperators({ revision: 6, configuration: undefined, drainedZones });
-    expect(catalog.operators().configuration?.version).toBe(7);
+    catalog.replaceOperatorState({ revision: 5, configuration: configuration(7), drainedZones });
+    catalog.replaceOperatorState({ revision: 6, configuration: undefined, drainedZones });
+    expect(catalog.operatorState().configuration?.version).toBe(7);
   });
 });
 
-describe('servers whose rows lapsed with the store', () => {
+describe('servers whose rows expired during an outage of the store', () => {
   const before = new Map([
     ['one', server('one', 1)],
     ['two', server('two', 2)],
   ]);
 
-  it('are kept until they had time to register again', () => {
-    // The store was away for longer than a row lives. Its first list lacks servers that stand
-    // idle; dropping them would refuse callers for two seconds.
+  it('are kept until they have had time to register again', () => {
+    // Guards against rejecting requests for two seconds after an outage longer than the lifetime of
+    // a row: the first list lacks servers that are idle.
     const listed = new Map([['one', server('one', 1)]]);
-    expect([...retainLapsed({ before, listed, sinceReturn: 100 }).keys()]).toEqual(['one', 'two']);
-    const after = retainLapsed({ before, listed, sinceReturn: LAPSE_MILLISECONDS });
+    expect([
+      ...retainExpiredServers({ before, listed, sinceRecoveryMilliseconds: 100 }).keys(),
+    ]).toEqual(['one', 'two']);
+    const after = retainExpiredServers({
+      before,
+      listed,
+      sinceRecoveryMilliseconds: REREGISTRATION_MILLISECONDS,
+    });
     expect([...after.keys()]).toEqual(['one']);
   });
 
-  it('are gone when they had begun to leave, or another has their address', () => {
+  it('are dropped if they were draining or another server has their address', () => {
     const leaving = new Map([['two', { ...server('two', 2), draining: true }]]);
-    expect(retainLapsed({ before: leaving, listed: new Map(), sinceReturn: 0 }).size).toBe(0);
+    expect(
+      retainExpiredServers({ before: leaving, listed: new Map(), sinceRecoveryMilliseconds: 0 })
+        .size,
+    ).toBe(0);
     const listed = new Map([['three', server('three', 2)]]);
-    expect(retainLapsed({ before, listed, sinceReturn: 0 }).has('two')).toBe(false);
+    expect(retainExpiredServers({ before, listed, sinceRecoveryMilliseconds: 0 }).has('two')).toBe(
+      false,
+    );
   });
 });
 
@@ -88,15 +99,15 @@
 
 const noAnswer = (): void => undefined;
 
-/** A store that gives prepared answers, one after the other. */
-function scripted(lists: RowList[], feeds: (FeedScript | Error)[]): Store {
+/** A store that returns prepared responses, one after the other. */
+function scriptedStore(lists: RowList[], feeds: (FeedScript | Error)[]): Store {
   return {
-    list: async () => ({ ...(lists.shift() ?? { rows: [], revision: 0 }), givenAt: 0 }),
+    list: async () => ({ ...(lists.shift() ?? { rows: [], revision: 0 }), answeredAt: 0 }),
     async feed() {
       const next = feeds.shift();
       if (next instanceof Error) throw next;
       if (next === undefined) return new Promise<Feed>(noAnswer);
-      return next.kind === FeedKind.Changes ? { ...next, givenAt: 0 } : next;
+      return next.kind === FeedKind.Changes ? { ...next, answeredAt: 0 } : next;
     },
     write: async () => {
       throw new Error('not used');
@@ -104,19 +115,19 @@
   };
 }
 
-async function follow(lists: RowList[], feeds: (FeedScript | Error)[]): Promise<string[]> {
+async function followScript(lists: RowList[], feeds: (FeedScript | Error)[]): Promise<string[]> {
   const seen: string[] = [];
   let finished: () => void = () => undefined;
   const isFinished = new Promise<void>((resolve) => {
     finished = resolve;
   });
   const follower = followTable({
-    store: scripted(lists, feeds),
+    store: scriptedStore(lists, feeds),
     table: 'table',
     part: '',
-    waitMilliseconds: () => 1,
+    longPollMilliseconds: () => 1,
     pauseMilliseconds: () => 0,
-    longestRetryMilliseconds: () => 800,
+    maximumRetryMilliseconds: () => 800,
     delegatedMilliseconds: () => 0,
     random: () => 0,
     clock: createStoreClock(() => 0),
@@ -136,7 +147,7 @@
 
 describe('following a table', () => {
   it('applies changes and removals in order', async () => {
-    const seen = await follow(
+    const seen = await followScript(
       [{ rows: [row('a', 'x', 1)], revision: 2 }],
       [
         { kind: FeedKind.Changes, rows: [row('b', 'y', 3)], revision: 3 },
@@ -146,10 +157,10 @@
     expect(seen).toEqual(['2:a', '3:a,b', '4:b']);
   });
 
-  it('reads all again when the history is gone', async () => {
-    // The store drops its history in the gap in which a server left. Going on from the newest
-    // revision would keep that server for ever.
-    const seen = await follow(
+  it('lists the table again when the change history is gone', async () => {
+    // Guards against keeping a server forever because its removal was in the history that the store
+    // has dropped, and the follower continued from the newest revision.
+    const seen = await followScript(
       [
         { rows: [row('a', 'x', 1), row('b', 'x', 2)], revision: 2 },
         { rows: [row('b', 'x', 2)], revision: 9 },
@@ -159,8 +170,8 @@
     expect(seen).toEqual(['2:a,b', '9:b']);
   });
 
-  it('does not take a list from behind what it knows', async () => {
-    const seen = await follow(
+  it('rejects a list that is older than its copy', async () => {
+    const seen = await followScript(
       [
         { rows: [row('a', 'x', 5)], revision: 5 },
         { rows: [], revision: 3 },
@@ -171,8 +182,8 @@
     expect(seen).toEqual(['5:a', '6:a']);
   });
 
-  it('goes on after calls that fail', async () => {
-    const seen = await follow(
+  it('continues after a failed call', async () => {
+    const seen = await followScript(
       [{ rows: [row('a', 'x', 1)], revision: 1 }],
       [new Error('no answer'), { kind: FeedKind.Changes, rows: [row('b', 'y', 2)], revision: 2 }],
     );
@@ -181,13 +192,13 @@
 });
 
 describe('a copy for another entry', () => {
-  it('comes back as it was', () => {
+  it('is unchanged by encoding and decoding', () => {
     const rows = new Map([['a', row('a', 'bytes', 4)]]);
     const copy = decodeCopy(JSON.parse(JSON.stringify(encodeCopy(rows, 7))), 'table', '');
     expect(copy).toEqual({ rows: [row('a', 'bytes', 4)], revision: 7 });
   });
 
-  it('that is malformed is refused', () => {
+  it('is rejected if it is malformed', () => {
     expect(decodeCopy({ revision: 'x' }, 'table', '')).toBeUndefined();
     expect(decodeCopy({ revision: 1, rows: [{ key: 3 }] }, 'table', '')).toBeUndefined();
   });
--- a/packages/catalog/src/follow-table.ts
+++ b/packages/catalog/src/follow-table.ts
@@ -1,101 +1,112 @@
 /**
- * Keeps a copy of one table of the store: read whole once, then followed by its changes. A call
- * that fails is tried again after a pause that grows; a history that is gone is read whole
- * again; a store that answers from behind what is known already is asked again.
+ * Keeps a local copy of one table of the store: lists all rows once, then applies the change feed.
+ * Failed calls are retried with exponential backoff and jitter. The table is listed again when the
+ * store no longer has the changes needed, and a response older than the local copy counts as a
+ * failed call.
  */
 import { FeedKind } from './store.js';
 import type { RowList, Store, StoreRow } from './store.js';
 import type { StoreClock } from './store-clock.js';
 
-export interface FollowOptions {
+export interface FollowTableOptions {
   readonly store: Store;
   readonly table: string;
   readonly part: string;
-  /** How long one call waits at the store for a change. */
-  waitMilliseconds(): number;
-  /** Pause between two calls, for tables that change all the time: calls are what costs. */
+  /** How long the store may hold a call until there is a change. */
+  longPollMilliseconds(): number;
+  /** Pause between two calls; limits the calls for tables that change constantly, as calls cost. */
   pauseMilliseconds(): number;
-  /** Longest pause between two tries while calls fail. */
-  longestRetryMilliseconds(): number;
+  /** Upper bound of the backoff while calls fail. */
+  maximumRetryMilliseconds(): number;
+  /** Uniform in [0, 1). */
   readonly random: () => number;
-  /** Milliseconds for which other instances read the table for this one; 0 when it has to itself. */
+  /**
+   * Milliseconds for which this instance still relies on the reads of other instances; 0 if it has
+   * to call the store itself.
+   */
   delegatedMilliseconds(): number;
-  /** Told of each answer of the store. */
+  /** Receives the store's time from each response. */
   readonly clock: StoreClock;
+  /** Monotonic clock of this instance, in milliseconds. */
   now(): number;
-  /** All rows, as of a revision, whenever something changed. */
+  /** Called with all rows, as of a revision, after every change. */
   onRows(rows: ReadonlyMap<string, StoreRow>, revision: number): void;
-  /** Called after each call. */
+  /** Called after each call to the store; the reason is empty after a success. */
   onStoreResult(succeeded: boolean, reason: string): void;
 }
 
-/** An answer of the store by which a copy was the newest. */
-export interface OwnConfirmation {
-  /** When the store gave it: milliseconds of its clock. */
-  readonly givenAt: number;
-  /** When it was asked for, by the own clock: it cannot be older than that. */
-  readonly askedAt: number;
+/** A response of the store showing that the copy was up to date. */
+export interface StoreConfirmation {
+  /** When the store answered: milliseconds of the store's clock. */
+  readonly answeredAt: number;
+  /**
+   * When the call was made: milliseconds of the local clock. The response cannot be older than
+   * that.
+   */
+  readonly requestedAt: number;
 }
 
+/** A local copy of a table that is kept up to date. */
 export interface TableFollower {
   start(): void;
   stop(): void;
-  /** The copy as it stands; undefined before the first read. */
+  /** The current copy; undefined before the first list. */
   copy(): { readonly rows: ReadonlyMap<string, StoreRow>; readonly revision: number } | undefined;
-  /** Takes another's whole copy when it is newer than this one. */
-  adopt(list: RowList): boolean;
-  /** Takes note that another has the same rows as of a revision. */
-  advance(revision: number): void;
-  /** The store's last confirmation of the copy to this instance; undefined before the first. */
-  confirmation(): OwnConfirmation | undefined;
-  /** Whether the last call got no usable answer. */
+  /** Replaces the copy by that of another instance; returns false if that one is not newer. */
+  replaceIfNewer(list: RowList): boolean;
+  /** Records that the rows are unchanged up to a later revision. */
+  advanceRevision(revision: number): void;
+  /** The latest response of the store to this instance; undefined before the first. */
+  confirmation(): StoreConfirmation | undefined;
+  /** Whether the last call got no usable response. */
   isFailing(): boolean;
 }
 
-/** First pause after a failure, in milliseconds: short, since changes must be seen in 2 s. */
-const FIRST_RETRY_MILLISECONDS = 100;
-/** Longest time between two looks at whether the store has to be asked after all. */
-const REST_MILLISECONDS = 250;
+/** Initial backoff: short, because changes must be seen within 2 s. */
+const INITIAL_RETRY_MILLISECONDS = 100;
+/** Longest interval between two checks of whether the store must be called after all. */
+const DELEGATION_CHECK_MILLISECONDS = 250;
 
-export function followTable(options: FollowOptions): TableFollower {
+/** Creates a follower of one partition of a table; it makes no calls until `start`. */
+export function followTable(options: FollowTableOptions): TableFollower {
   const { store, table, part } = options;
   const rows = new Map<string, StoreRow>();
   let revision = 0;
-  let isWhole = false;
+  let isLoaded = false;
   let stopped = false;
   let failures = 0;
-  let confirmation: OwnConfirmation | undefined;
+  let confirmation: StoreConfirmation | undefined;
   let timer: NodeJS.Timeout | undefined;
 
-  function confirm(givenAt: number, askedAt: number): void {
-    options.clock.observe(givenAt);
-    confirmation = { givenAt, askedAt };
+  function recordConfirmation(answeredAt: number, requestedAt: number): void {
+    options.clock.observe(answeredAt);
+    confirmation = { answeredAt, requestedAt };
   }
 
-  async function readWhole(): Promise<void> {
-    const askedAt = options.now();
+  async function loadAllRows(): Promise<void> {
+    const requestedAt = options.now();
     const list = await store.list(table, part);
-    if (list.revision < revision) throw new Error('the store answers from behind');
-    confirm(list.givenAt, askedAt);
-    replace(list);
+    if (list.revision < revision) throw new Error('the store listed an older revision');
+    recordConfirmation(list.answeredAt, requestedAt);
+    replaceRows(list);
   }
 
-  function replace(list: RowList): void {
+  function replaceRows(list: RowList): void {
     rows.clear();
     for (const row of list.rows) rows.set(row.key, row);
     revision = list.revision;
-    isWhole = true;
+    isLoaded = true;
     options.onRows(rows, revision);
   }
 
-  async function readChanges(): Promise<void> {
-    const askedFrom = revision;
-    const askedAt = options.now();
-    const feed = await store.feed(table, askedFrom, options.waitMilliseconds());
+  async function pollChanges(): Promise<void> {
+    const requestedSince = revision;
+    const requestedAt = options.now();
+    const feed = await store.feed(table, requestedSince, options.longPollMilliseconds());
     switch (feed.kind) {
       case FeedKind.HistoryGone:
-        isWhole = false;
-        await readWhole();
+        isLoaded = false;
+        await loadAllRows();
         return;
       case FeedKind.Changes:
         break;
@@ -105,11 +116,11 @@
       }
     }
     if (feed.revision < revision) {
-      // Another instance's copy came meanwhile, and is newer than this answer.
-      if (revision > askedFrom) return;
-      throw new Error('the store answers from behind');
+      // A copy from another instance arrived during the call and is newer than this response.
+      if (revision > requestedSince) return;
+      throw new Error('the store sent changes of an older revision');
     }
-    confirm(feed.givenAt, askedAt);
+    recordConfirmation(feed.answeredAt, requestedAt);
     let changed = false;
     for (const row of feed.rows) {
       if (row.part !== part) continue;
@@ -121,51 +132,51 @@
     if (changed) options.onRows(rows, revision);
   }
 
-  async function step(): Promise<void> {
-    const rest = isWhole ? options.delegatedMilliseconds() : 0;
-    if (rest > 0) {
+  async function poll(): Promise<void> {
+    const delegatedFor = isLoaded ? options.delegatedMilliseconds() : 0;
+    if (delegatedFor > 0) {
       failures = 0;
-      schedule(Math.min(rest, REST_MILLISECONDS));
+      schedule(Math.min(delegatedFor, DELEGATION_CHECK_MILLISECONDS));
       return;
     }
     let pause = options.pauseMilliseconds();
     try {
-      if (isWhole) await readChanges();
-      else await readWhole();
+      if (isLoaded) await pollChanges();
+      else await loadAllRows();
       failures = 0;
       options.onStoreResult(true, '');
     } catch (thrown) {
       options.onStoreResult(false, thrown instanceof Error ? thrown.message : String(thrown));
-      const longest = Math.min(
-        options.longestRetryMilliseconds(),
-        FIRST_RETRY_MILLISECONDS * 2 ** Math.min(failures, 6),
+      const maximumPause = Math.min(
+        options.maximumRetryMilliseconds(),
+        INITIAL_RETRY_MILLISECONDS * 2 ** Math.min(failures, 6),
       );
       failures += 1;
-      pause = longest * (0.5 + options.random() / 2);
+      pause = maximumPause * (0.5 + options.random() / 2);
     }
     schedule(pause);
   }
 
   function schedule(pause: number): void {
-    if (!stopped) timer = setTimeout(() => void step(), pause);
+    if (!stopped) timer = setTimeout(() => void poll(), pause);
   }
 
   return {
     start() {
-      void step();
+      void poll();
     },
     stop() {
       stopped = true;
       clearTimeout(timer);
     },
-    copy: () => (isWhole ? { rows, revision } : undefined),
-    adopt(list) {
+    copy: () => (isLoaded ? { rows, revision } : undefined),
+    replaceIfNewer(list) {
       if (list.revision <= revision) return false;
-      replace(list);
+      replaceRows(list);
       return true;
     },
-    advance(to) {
-      if (isWhole) revision = Math.max(revision, to);
+    advanceRevision(newRevision) {
+      if (isLoaded) revision = Math.max(revision, newRevision);
     },
     confirmation: () => confirmation,
     isFailing: () => failures > 0,
--- a/packages/direct-entry/src/plan-entries.ts
+++ b/packages/direct-entry/src/plan-entries.ts
@@ -1,23 +1,34 @@
 /**
- * How many entries are reckoned with where a bound is shared among them. An entry that has just
- * started knows few of the others, and would take too much of what all share: so it assumes some,
- * and more where there are many backend servers. Pure.
+ * Estimates the number of entries that share a limit. An entry that has just started knows few of
+ * the others and would claim too large a share, so it assumes a minimum number that grows with the
+ * number of backend servers. Pure.
  */
-export interface EntriesInput {
-  /** This entry and those it has heard of. */
-  readonly known: number;
-  /** Backend servers in the list. */
-  readonly servers: number;
+
+/** What an entry knows of the size of the deployment. */
+export interface EntryCountInput {
+  /** Number of known entries, including this one. */
+  readonly knownEntries: number;
+  /** Number of listed backend servers. */
+  readonly backendServers: number;
   readonly sinceStartMilliseconds: number;
 }
 
-const FEWEST_ASSUMED = 8;
-/** A deployment has one entry for so many backend servers, or more entries. */
+const MINIMUM_ASSUMED_ENTRIES = 8;
+/** Deployments have at least one entry per this many backend servers. */
 const SERVERS_PER_ENTRY = 3;
-/** By then the others had time to make themselves heard. */
-const ASSUMED_MILLISECONDS = 5000;
+/** Time after the start within which this entry learns of all others. */
+const DISCOVERY_MILLISECONDS = 5000;
 
-export function planEntries({ known, servers, sinceStartMilliseconds }: EntriesInput): number {
-  if (sinceStartMilliseconds >= ASSUMED_MILLISECONDS) return known;
-  return Math.max(known, FEWEST_ASSUMED, Math.ceil(servers / SERVERS_PER_ENTRY));
+/** Returns the number of entries to assume, including this one. */
+export function estimateEntryCount({
+  knownEntries,
+  backendServers,
+  sinceStartMilliseconds,
+}: EntryCountInput): number {
+  if (sinceStartMilliseconds >= DISCOVERY_MILLISECONDS) return knownEntries;
+  return Math.max(
+    knownEntries,
+    MINIMUM_ASSUMED_ENTRIES,
+    Math.ceil(backendServers / SERVERS_PER_ENTRY),
+  );
 }
--- a/packages/direct-entry/src/start-entry.ts
+++ b/packages/direct-entry/src/start-entry.ts
@@ -1,5 +1,6 @@
 /**
- * The entry program: takes callers' requests and forwards them to backend servers.
+ * The entry program: accepts callers' requests and forwards them to backend servers. This module
+ * creates its parts and connects them.
  */
 import { createServer } from 'node:http';
 
@@ -27,14 +28,17 @@
 import type { EntryAdapters } from './adapters.js';
 import { fetchCopy } from './copy-exchange.js';
 import { startInstanceListener } from './instance-listener.js';
-import { createKnowledge } from './knowledge.js';
-import type { Knowledge } from './knowledge.js';
-import { planEntries } from './plan-entries.js';
+import { createCatalogSync } from './catalog-sync.js';
+import type { CatalogSync } from './catalog-sync.js';
+import { estimateEntryCount } from './plan-entries.js';
 import { startFleet } from './start-fleet.js';
 
-/** Longest wait for an answer of the store, beyond the wait that was asked for. */
-const STORE_MILLISECONDS = 700;
-/** The balancer takes an instance out after two missed checks, one a second. */
+/** Timeout of a call to the store, in addition to the time for which the store may hold it. */
+const STORE_TIMEOUT_MILLISECONDS = 700;
+/**
+ * Time for which a stopping entry still accepts connections: the load balancer checks once per
+ * second and removes an instance after two failed checks.
+ */
 const LINGER_MILLISECONDS = 2600;
 
 function serveReadiness(address: Address, isReady: () => boolean): Promise<void> {
@@ -70,17 +74,17 @@
   let isStopping = false;
   const pulse = createEventActivity(monotonicClock);
 
-  function entriesOf(known: number): number {
-    return planEntries({
-      known,
-      servers: catalog.servers().servers.size,
+  function estimateEntries(knownEntries: number): number {
+    return estimateEntryCount({
+      knownEntries,
+      backendServers: catalog.servers().servers.size,
       sinceStartMilliseconds: monotonicClock() - startedAt,
     });
   }
 
   const sendingEntries = (): SendingEntries => {
     const names = fleet.entryIds();
-    return { own: settings.instanceId, names, count: entriesOf(names.length) };
+    return { own: settings.instanceId, names, count: estimateEntries(names.length) };
   };
   const rateLimits = createServerRateLimits({
     logger,
@@ -101,14 +105,14 @@
     logger,
     metrics,
     random,
-    fleetSize: entriesOf,
-    knowledge: () => knowledge,
+    fleetSize: estimateEntries,
+    catalogSync: () => catalogSync,
   });
-  const knowledge: Knowledge = createKnowledge({
+  const catalogSync: CatalogSync = createCatalogSync({
     catalog,
     store: adapters.createStore({
       ...settings.storeAddress,
-      timeoutMilliseconds: STORE_MILLISECONDS,
+      timeoutMilliseconds: STORE_TIMEOUT_MILLISECONDS,
     }),
     tables: adapters.tables,
     logger,
@@ -120,10 +124,10 @@
       configuration: life.settings().configurationBoundMilliseconds,
       draining: life.settings().drainingBoundMilliseconds,
     }),
-    livingHosts: () => fleet.livingHosts(),
+    livePeerHosts: () => fleet.livingHosts(),
     isDelegating: () => fleet.isDelegating(),
     role: () => fleet.readingRole(),
-    onNews: () => fleet.onNews(),
+    onFreshnessChange: () => fleet.onNews(),
   });
 
   const entries = (): number => sendingEntries().count;
@@ -131,8 +135,8 @@
   const coldShare = createColdStartShare(sendingEntries, monotonicClock);
   catalog.onChange(() => {
     const { servers } = catalog.servers();
-    for (const memory of [ledger, liveness, pulse, coldShare, statements]) {
-      memory.keepOnly(servers);
+    for (const tracker of [ledger, liveness, pulse, coldShare, statements]) {
+      tracker.keepOnly(servers);
     }
   });
 
@@ -201,14 +205,14 @@
       : createCallerListener({
           ...settings.callerAddress,
           context,
-          isOutdated: () => knowledge.isOutdated(),
+          isOutdated: () => catalogSync.isOutdated(),
           shutdownDelayMilliseconds: LINGER_MILLISECONDS,
         });
 
   startMetricsListener(metrics, settings.host, settings.metricsPort, (error) => {
     logger.warn('metrics not served', { reason: error.message });
   });
-  const isReady = (): boolean => !isStopping && catalog.operators().configuration !== undefined;
+  const isReady = (): boolean => !isStopping && catalog.operatorState().configuration !== undefined;
   try {
     const { readinessAddress } = settings;
     if (readinessAddress !== undefined) await serveReadiness(readinessAddress, isReady);
@@ -217,9 +221,9 @@
       host: settings.host,
       port: settings.peerPort,
       logger,
-      respondWithCopy: knowledge.respondWithCopy,
+      respondWithCopy: catalogSync.respondWithCopy,
     });
-    knowledge.start();
+    catalogSync.start();
     await listener?.start();
   } catch (thrown) {
     await endUnstarted(life, thrown);
--- a/packages/forwarding/src/backoff.test.ts
+++ b/packages/forwarding/src/backoff.test.ts
@@ -110,7 +110,7 @@
   // Guards against telling a caller to retry later than it could be served.
   fixture = await startFixture({
     servers: { one: firstThen(refuseWithRetryAfter(0.3), respondWith('answer')) },
-    route: { kind: RequestKind.AtMostOnce, objectiveMilliseconds: 60_000 },
+    route: { kind: RequestKind.AtMostOnce, latencyObjectiveMilliseconds: 60_000 },
   });
   await send('first');
   const { status, milliseconds } = await send('second');
--- a/packages/forwarding/src/caller-listener.ts
+++ b/packages/forwarding/src/caller-listener.ts
@@ -113,7 +113,7 @@
       subject: request.requestId ?? 'none',
       choice: String(status),
       reason,
-      facts: { configurationVersion: context.catalog.operators().configuration?.version },
+      facts: { configurationVersion: context.catalog.operatorState().configuration?.version },
     });
     const headers = context.protocol.encodeLocalReplyHeaders(request.requestId, retryAfter);
     callerResponse.send(status, headers, Buffer.alloc(0));
@@ -133,7 +133,7 @@
     const callerResponse = createCallerResponse(response);
     const arrivedAt = context.now();
     const request = context.protocol.decodeRequest(incoming);
-    const { limits } = context.catalog.operators().configuration ?? {};
+    const { limits } = context.catalog.operatorState().configuration ?? {};
     const maximumBody = limits?.maximumBodyBytes ?? DEFAULT_MAXIMUM_BODY_BYTES;
     const body = await readBody(incoming, maximumBody);
     if (callerResponse.isEnded) return;
@@ -148,7 +148,7 @@
       return;
     }
     // A newer configuration may have been loaded while the body was read.
-    const { configuration } = context.catalog.operators();
+    const { configuration } = context.catalog.operatorState();
     const admission = decideAdmission({
       configuration,
       isOutdated: options.isOutdated(),
@@ -223,7 +223,7 @@
     TIMEOUT_CHECK_INTERVAL_MILLISECONDS;
 
   function applyLimits(): void {
-    const limits = context.catalog.operators().configuration?.limits;
+    const limits = context.catalog.operatorState().configuration?.limits;
     server.headersTimeout =
       limits?.headerTimeoutMilliseconds ?? DEFAULT_HEADER_TIMEOUT_MILLISECONDS;
     server.keepAliveTimeout =
--- a/packages/forwarding/src/choose-server.ts
+++ b/packages/forwarding/src/choose-server.ts
@@ -21,7 +21,7 @@
 ): { views: ServerView[]; serversById: ReadonlyMap<string, BackendServer>; leaving: number } {
   const { coldShare } = context;
   const profile = accepted.configuration.services.get(accepted.service);
-  const { drainedZones } = context.catalog.operators();
+  const { drainedZones } = context.catalog.operatorState();
   const serversById = context.catalog.servers().servers;
   const views: ServerView[] = [];
   const coldRate = profile?.coldRequestsPerSecond ?? 0;
@@ -91,7 +91,7 @@
     ownZone: context.ownZone,
     excluded: progress.tried,
     prefillTokensPerMillisecond:
-      engine === undefined ? READ_SPEED_WITHOUT_MODEL : engine.readTokensPerSecond / 1000,
+      engine === undefined ? READ_SPEED_WITHOUT_MODEL : engine.prefillTokensPerSecond / 1000,
     unreportedArrivals: estimateUnseenArrivals(context, accepted.service, views),
     canServeInTime: fits,
     random: context.random,
--- a/packages/forwarding/src/forwarding.test.ts
+++ b/packages/forwarding/src/forwarding.test.ts
@@ -182,7 +182,7 @@
     const hanging: BackendHandler = () => undefined;
     await start({
       servers: { one: hanging, two: respondWith('text') },
-      route: { timeoutMilliseconds: 200, objectiveMilliseconds: 100 },
+      route: { timeoutMilliseconds: 200, latencyObjectiveMilliseconds: 100 },
     });
     expect((await send()).status).toBe(504);
     expect((await send()).status).toBe(200);
--- a/packages/forwarding/src/late-answer.ts
+++ b/packages/forwarding/src/late-answer.ts
@@ -7,6 +7,6 @@
 const OBJECTIVE_MULTIPLE = 1.5;
 
 /** Milliseconds from the start of an attempt after which its response is late. */
-export function lateThresholdMilliseconds({ objectiveMilliseconds }: Route): number {
-  return objectiveMilliseconds * OBJECTIVE_MULTIPLE;
+export function lateThresholdMilliseconds({ latencyObjectiveMilliseconds }: Route): number {
+  return latencyObjectiveMilliseconds * OBJECTIVE_MULTIPLE;
 }
--- a/packages/forwarding/src/late-body.test.ts
+++ b/packages/forwarding/src/late-body.test.ts
@@ -17,7 +17,7 @@
     // former one.
     fixture = await startFixture({ servers: { one: respondWith('whole') } });
     const { catalog, port, arrivals } = fixture;
-    const { configuration } = catalog.operators();
+    const { configuration } = catalog.operatorState();
     if (configuration === undefined) throw new Error('the fixture has no configuration');
     const status = await new Promise<number | undefined>((resolve, reject) => {
       const outgoing = request(
@@ -30,7 +30,7 @@
       outgoing.on('error', reject);
       outgoing.write('first half, ');
       setTimeout(() => {
-        catalog.replaceOperators({
+        catalog.replaceOperatorState({
           revision: 2,
           configuration: { ...configuration, version: 2, routes: [] },
           drainedZones: new Set(),
--- a/packages/forwarding/src/plan-priority.ts
+++ b/packages/forwarding/src/plan-priority.ts
@@ -38,7 +38,7 @@
 export function urgencyOf(waiting: WaitingStream): Urgency {
   if (waiting.hasBegun) return Urgency.Begun;
   if (waiting.isMoved) return Urgency.Moved;
-  const latest = waiting.route.objectiveMilliseconds * (1 - ANSWER_TIME_SHARE);
+  const latest = waiting.route.latencyObjectiveMilliseconds * (1 - ANSWER_TIME_SHARE);
   const isFresh = !waiting.isRetry && waiting.idleMilliseconds <= latest;
   return isFresh ? Urgency.Fresh : Urgency.Late;
 }
--- a/packages/forwarding/src/plan-wait.test.ts
+++ b/packages/forwarding/src/plan-wait.test.ts
@@ -59,8 +59,12 @@
 });
 
 it('uses the longest of the times for which callers wait', () => {
-  expect(callerPatienceMilliseconds({ ...STREAM_ROUTE, objectiveMilliseconds: 900 })).toBe(3600);
-  expect(callerPatienceMilliseconds({ ...STREAM_ROUTE, gapMilliseconds: 400 })).toBe(3200);
+  expect(callerPatienceMilliseconds({ ...STREAM_ROUTE, latencyObjectiveMilliseconds: 900 })).toBe(
+    3600,
+  );
+  expect(callerPatienceMilliseconds({ ...STREAM_ROUTE, eventGapObjectiveMilliseconds: 400 })).toBe(
+    3200,
+  );
 });
 
 it('waits for a server that takes the stream soon, and refuses if it takes it late', () => {
--- a/packages/forwarding/src/plan-wait.ts
+++ b/packages/forwarding/src/plan-wait.ts
@@ -39,8 +39,8 @@
 export function callerPatienceMilliseconds(route: Route): number {
   return Math.max(
     MINIMUM_PATIENCE_MILLISECONDS,
-    PATIENCE_OBJECTIVES * route.objectiveMilliseconds,
-    PATIENCE_GAPS * route.gapMilliseconds,
+    PATIENCE_OBJECTIVES * route.latencyObjectiveMilliseconds,
+    PATIENCE_GAPS * route.eventGapObjectiveMilliseconds,
   );
 }
 
--- a/packages/forwarding/src/request-end.test.ts
+++ b/packages/forwarding/src/request-end.test.ts
@@ -48,7 +48,10 @@
 }
 
 /** Objectives that even the slowest machine meets. */
-const UNBOUNDED_OBJECTIVES = { objectiveMilliseconds: 60_000, gapMilliseconds: 60_000 };
+const UNBOUNDED_OBJECTIVES = {
+  latencyObjectiveMilliseconds: 60_000,
+  eventGapObjectiveMilliseconds: 60_000,
+};
 const STREAM = { kind: RequestKind.Streaming, resumable: true, ...UNBOUNDED_OBJECTIVES };
 
 /** Accepts the request and never responds. */
@@ -75,7 +78,7 @@
   const late: BackendHandler = (incoming, response) => {
     setTimeout(() => respondWith('booked')(incoming, response), 60);
   };
-  const route = { objectiveMilliseconds: 20 };
+  const route = { latencyObjectiveMilliseconds: 20 };
   const ends = await collectEnds({ servers: { one: late }, route });
   expect(ends).toMatchObject([{ kind: RequestEndKind.Response, facts: { isOnTime: false } }]);
 });
--- a/packages/forwarding/src/serve-plain.ts
+++ b/packages/forwarding/src/serve-plain.ts
@@ -181,7 +181,7 @@
       reason: 'response forwarded',
       facts: {
         status: outcome.head.status,
-        isOnTime: elapsedMilliseconds <= route.objectiveMilliseconds,
+        isOnTime: elapsedMilliseconds <= route.latencyObjectiveMilliseconds,
         sends: progress.sends,
       },
     });
--- a/packages/forwarding/src/simulate-outage.ts
+++ b/packages/forwarding/src/simulate-outage.ts
@@ -206,7 +206,7 @@
       if (!caller.hasEvent && caller.remainingServiceMilliseconds <= caller.serviceMilliseconds) {
         caller.hasEvent = true;
         const waited = now - caller.firstAt;
-        caller.isOnTime = waited <= STREAM_ROUTE.objectiveMilliseconds && !isSlow;
+        caller.isOnTime = waited <= STREAM_ROUTE.latencyObjectiveMilliseconds && !isSlow;
       }
       if (caller.remainingServiceMilliseconds <= 0) {
         finish(caller, caller.isOnTime ? CallerEnd.InTime : CallerEnd.Late);
--- a/packages/forwarding/src/stalled-process.test.ts
+++ b/packages/forwarding/src/stalled-process.test.ts
@@ -25,7 +25,7 @@
   // blocked.
   fixture = await startFixture({
     servers: { one: respondWith('whole') },
-    route: { kind: RequestKind.Idempotent, objectiveMilliseconds: 60_000 },
+    route: { kind: RequestKind.Idempotent, latencyObjectiveMilliseconds: 60_000 },
   });
   const { logger } = fixture;
   const { decision } = logger;
