--- a/packages/fleet/src/fleet.test.ts
+++ b/packages/fleet/src/fleet.test.ts
@@ -1,4 +1,4 @@
-import { packGrowth, unpackGrowth } from '@lapisbridge/group-leader';
+import { quantizeCountDelta, dequantizeCountDelta } from '@lapisbridge/group-leader';
 import { describe, expect, it } from 'vitest';
 
 import type { InstanceName } from './message.js';
@@ -236,12 +236,12 @@
     for (const { heardLeader } of others) expect(heardLeader).toBe(7);
     leader.growths.length = 0;
     for (const { fleet } of others) {
-      fleet.tellGrowth(packGrowth({ epoch: 1, counts: Array(4128).fill(10) }, () => 0.5));
+      fleet.tellGrowth(quantizeCountDelta({ epoch: 1, counts: Array(4128).fill(10) }, () => 0.5));
     }
     played.run(SECOND);
     expect(leader.growths.length).toBeLessThanOrEqual(10);
     let total = 0;
-    for (const growth of leader.growths) total += unpackGrowth(growth).counts[17] ?? 0;
+    for (const growth of leader.growths) total += dequantizeCountDelta(growth).counts[17] ?? 0;
     expect(total).toBeCloseTo(10 * others.length, 0);
   });
 
@@ -252,7 +252,7 @@
     leader.fence = 3;
     leader.fleet.reportNow();
     played.run(SECOND);
-    second.fleet.tellGrowth(packGrowth({ epoch: 1, counts: [1, 2] }, () => 0.5));
+    second.fleet.tellGrowth(quantizeCountDelta({ epoch: 1, counts: [1, 2] }, () => 0.5));
     played.run(5);
     expect(leader.growths).toHaveLength(1);
   });
--- a/packages/fleet/src/growth-sum.ts
+++ b/packages/fleet/src/growth-sum.ts
@@ -2,13 +2,13 @@
  * Sums the growth of the counts of a zone's ranks, so that a group's leader reads one message a
  * zone instead of one a rank.
  */
-import { packGrowth, unpackGrowth } from '@lapisbridge/group-leader';
-import type { PackedGrowth } from '@lapisbridge/group-leader';
+import { quantizeCountDelta, dequantizeCountDelta } from '@lapisbridge/group-leader';
+import type { QuantizedCountDelta } from '@lapisbridge/group-leader';
 
 export interface GrowthSum {
-  add(group: string, growth: PackedGrowth): void;
+  add(group: string, growth: QuantizedCountDelta): void;
   /** The sum since the last call; undefined where nothing grew. */
-  take(group: string): PackedGrowth | undefined;
+  take(group: string): QuantizedCountDelta | undefined;
 }
 
 interface Sum {
@@ -24,7 +24,7 @@
   const sums = new Map<string, Sum>();
   return {
     add(group, packed) {
-      const { epoch, counts } = unpackGrowth(packed);
+      const { epoch, counts } = dequantizeCountDelta(packed);
       const sum = sums.get(group);
       if (sum === undefined || sum.epoch < epoch || sum.counts.length !== counts.length) {
         sums.set(group, { epoch, counts: [...counts] });
@@ -38,7 +38,7 @@
     take(group) {
       const sum = sums.get(group);
       sums.delete(group);
-      return sum === undefined ? undefined : packGrowth(sum, random, SUM_BITS);
+      return sum === undefined ? undefined : quantizeCountDelta(sum, random, SUM_BITS);
     },
   };
 }
--- a/packages/fleet/src/message.test.ts
+++ b/packages/fleet/src/message.test.ts
@@ -1,6 +1,6 @@
 import { createSocket } from 'node:dgram';
 
-import { packGrowth } from '@lapisbridge/group-leader';
+import { quantizeCountDelta } from '@lapisbridge/group-leader';
 import { createSilentLogger } from '@lapisbridge/logger';
 import { afterEach, expect, it } from 'vitest';
 
@@ -63,7 +63,7 @@
       backendServerPort: 80,
     },
     fence: 5,
-    growth: packGrowth({ epoch: 1, counts: [0, 4_000_000_000] }, () => 0),
+    growth: quantizeCountDelta({ epoch: 1, counts: [0, 4_000_000_000] }, () => 0),
   },
   {
     kind: MessageKind.ZoneSummary,
@@ -75,7 +75,7 @@
   {
     kind: MessageKind.Growth,
     group: 'g',
-    growth: packGrowth({ epoch: 1, counts: [1] }, () => 0),
+    growth: quantizeCountDelta({ epoch: 1, counts: [1] }, () => 0),
   },
   { kind: MessageKind.ReportQuestion, question: 9 },
 ];
--- a/packages/fleet/src/message.ts
+++ b/packages/fleet/src/message.ts
@@ -4,8 +4,8 @@
  */
 import { isObject, listOf, numberOf, objectsOf, parseObject, textOf } from '@lapisbridge/json-call';
 import type { JsonObject } from '@lapisbridge/json-call';
-import type { GroupProfile, PackedGrowth } from '@lapisbridge/group-leader';
-import { decodeGrowth } from '@lapisbridge/group-leader';
+import type { GroupProfile, QuantizedCountDelta } from '@lapisbridge/group-leader';
+import { decodeCountDelta } from '@lapisbridge/group-leader';
 import type { RankReport } from '@lapisbridge/placement';
 
 import type { LoadBucket } from './pack-loads.js';
@@ -131,13 +131,13 @@
       readonly state: RankState;
       /** Fencing number of a rank that leads its group. */
       readonly fence: number | undefined;
-      readonly growth: PackedGrowth | undefined;
+      readonly growth: QuantizedCountDelta | undefined;
     }
   | {
       readonly kind: MessageKind.ZoneSummary;
       readonly group: string;
       readonly ranks: readonly SummarizedRank[];
-      readonly growth: PackedGrowth | undefined;
+      readonly growth: QuantizedCountDelta | undefined;
     }
   | {
       readonly kind: MessageKind.LeaderHeartbeat;
@@ -149,7 +149,7 @@
   | {
       readonly kind: MessageKind.Growth;
       readonly group: string;
-      readonly growth: PackedGrowth;
+      readonly growth: QuantizedCountDelta;
     }
   | { readonly kind: MessageKind.ReportQuestion; readonly question: number }
   | {
@@ -298,7 +298,7 @@
     kind: MessageKind.RankState,
     state,
     fence: numberOf(body, 'fence'),
-    growth: decodeGrowth(body.growth),
+    growth: decodeCountDelta(body.growth),
   };
 }
 
@@ -318,7 +318,7 @@
     const rank = decodeSummarizedRank(listed);
     if (rank !== undefined) ranks.push(rank);
   }
-  return { kind: MessageKind.ZoneSummary, group, ranks, growth: decodeGrowth(body.growth) };
+  return { kind: MessageKind.ZoneSummary, group, ranks, growth: decodeCountDelta(body.growth) };
 }
 
 function decodeHeartbeat(body: JsonObject): FleetMessage | undefined {
@@ -330,7 +330,7 @@
 
 function decodeGrowthMessage(body: JsonObject): FleetMessage | undefined {
   const group = textOf(body, 'group');
-  const growth = decodeGrowth(body.growth);
+  const growth = decodeCountDelta(body.growth);
   if (group === undefined || growth === undefined) return undefined;
   return { kind: MessageKind.Growth, group, growth };
 }
--- a/packages/fleet/src/played-fleet.ts
+++ b/packages/fleet/src/played-fleet.ts
@@ -2,8 +2,8 @@
  * A fleet in simulated time for tests: the real state machines of entries and sidecars, joined by
  * a network that delays, loses and cuts. The same seed plays the same way.
  */
-import { planPace } from '@lapisbridge/group-leader';
-import type { PackedGrowth } from '@lapisbridge/group-leader';
+import { planReportingIntervals } from '@lapisbridge/group-leader';
+import type { QuantizedCountDelta } from '@lapisbridge/group-leader';
 import type { JsonObject } from '@lapisbridge/json-call';
 import { createRandom } from '@lapisbridge/kernel';
 import { createSilentLogger } from '@lapisbridge/logger';
@@ -56,7 +56,7 @@
   isOpen: boolean;
   fence: number | undefined;
   /** Growth that reached this sidecar as a leader. */
-  readonly growths: PackedGrowth[];
+  readonly growths: QuantizedCountDelta[];
   heardLeader: number;
 }
 
@@ -257,7 +257,7 @@
       role: InstanceRole.Sidecar,
       availabilityZone: zoneOf(rank),
     };
-    const growths: PackedGrowth[] = [];
+    const growths: QuantizedCountDelta[] = [];
     const state = (): RankState => ({
       group: GROUP,
       rank,
@@ -274,7 +274,7 @@
       sidecarPort: SIDECAR_PORT,
       seedHosts,
       state,
-      pace: () => planPace(options.sidecars),
+      pace: () => planReportingIntervals(options.sidecars),
       fence: () => sidecar.fence,
       isSettled: () => true,
       onProfiles: () => undefined,
--- a/packages/fleet/src/sidecar-fleet.ts
+++ b/packages/fleet/src/sidecar-fleet.ts
@@ -5,9 +5,9 @@
  */
 import type {
   GroupProfile,
-  PackedGrowth,
+  QuantizedCountDelta,
   RankTarget,
-  TellingPace,
+  ReportingIntervals,
 } from '@lapisbridge/group-leader';
 import type { RankReport } from '@lapisbridge/placement';
 
@@ -21,7 +21,7 @@
   seedHosts(): readonly string[];
   /** State of the rank beside this sidecar; undefined while its engine does not answer. */
   state(): RankState | undefined;
-  pace(): TellingPace;
+  pace(): ReportingIntervals;
   /** Fencing number while this sidecar leads. */
   fence(): number | undefined;
   /** Whether this leader has seen its group with no hold and nothing armed. */
@@ -29,7 +29,7 @@
   onProfiles(profiles: Readonly<Record<string, GroupProfile>>): void;
   onLeader(fence: number, isSettled: boolean): void;
   /** Growth of other ranks' counts, for a leader. */
-  onGrowth(growth: PackedGrowth): void;
+  onGrowth(growth: QuantizedCountDelta): void;
   onQuestion(from: InstanceName, question: number): void;
   onAnswer(question: number, report: RankReport): void;
   send(host: string, message: FleetMessage): void;
@@ -43,7 +43,7 @@
   /** Reports to all entries that listen: the group was lost or is back, or a leader is new. */
   reportNow(): void;
   /** Sends the growth of this rank's counts towards the leader. */
-  tellGrowth(growth: PackedGrowth): void;
+  tellGrowth(growth: QuantizedCountDelta): void;
   /** Asks the sidecar at a host for a fresh report. */
   ask(host: string, question: number): void;
   answer(host: string, question: number, report: RankReport): void;
@@ -102,7 +102,7 @@
     return active;
   }
 
-  function report(listener: Listener, growth?: PackedGrowth): void {
+  function report(listener: Listener, growth?: QuantizedCountDelta): void {
     const state = options.state();
     if (state === undefined) return;
     reportedAt.set(listener.name.instanceId, now());
@@ -115,7 +115,7 @@
   }
 
   function reportDue(): void {
-    const { beat } = options.pace();
+    const { entryReportMilliseconds: beat } = options.pace();
     for (const listener of activeListeners()) {
       const pause = listener.wantsEveryReport ? beat : beat * STANDBY_DIVISOR;
       const since = now() - (reportedAt.get(listener.name.instanceId) ?? -Infinity);
@@ -144,7 +144,7 @@
     const fence = options.fence();
     const state = options.state();
     if (fence === undefined || state === undefined) return;
-    if (now() - heartbeatAt < options.pace().heartbeat - SLACK_MILLISECONDS) return;
+    if (now() - heartbeatAt < options.pace().heartbeatMilliseconds - SLACK_MILLISECONDS) return;
     heartbeatAt = now();
     for (const [rank, { host }] of ranks) {
       if (rank === state.rank) continue;
@@ -242,7 +242,7 @@
       findListeners();
       reportDue();
       sendHeartbeats();
-      const { beat, isGrowthRelayed } = options.pace();
+      const { entryReportMilliseconds: beat, areCountsRelayed: isGrowthRelayed } = options.pace();
       return isGrowthRelayed && options.fence() === undefined ? beat : TICK_MILLISECONDS;
     },
     reportNow() {
@@ -251,7 +251,7 @@
     tellGrowth(growth) {
       const state = options.state();
       if (state === undefined) return;
-      if (!options.pace().isGrowthRelayed) {
+      if (!options.pace().areCountsRelayed) {
         if (leaderHost === undefined || !state.isOpen) return;
         send(leaderHost, { kind: MessageKind.Growth, group: state.group, growth });
         return;
@@ -264,7 +264,7 @@
       send(host, { kind: MessageKind.ReportAnswer, question, report: fresh }),
     targets() {
       const targets = new Map<number, RankTarget>();
-      const { isGrowthRelayed } = options.pace();
+      const { areCountsRelayed: isGrowthRelayed } = options.pace();
       for (const { rank, host, backendServerPort } of ranks.values()) {
         const entryHost = isGrowthRelayed ? entryOfRank.get(rank) : undefined;
         targets.set(rank, {
--- a/packages/group-leader/src/compose-map.ts
+++ b/packages/group-leader/src/compose-map.ts
@@ -3,7 +3,7 @@
  */
 import type { GroupMap } from '@lapisbridge/placement';
 
-import type { GroupProfile } from './demand-watch.js';
+import type { GroupProfile } from './map-planner.js';
 import type { RankMap } from './rank-link.js';
 
 export interface ComposedMap {
--- a/packages/group-leader/src/count-growth.ts
+++ b/packages/group-leader/src/count-delta.ts
@@ -11,18 +11,18 @@
 import type { RankCounts } from './rank-link.js';
 
 /** How often each expert was chosen since the last telling, set after set. */
-export interface CountGrowth {
+export interface CountDelta {
   readonly epoch: number;
   readonly counts: readonly number[];
 }
 
-export interface GrowthMeter {
+export interface CountDeltaTracker {
   /** Growth since the last call; undefined after the first one of the rank's life. */
-  note(counts: RankCounts): CountGrowth | undefined;
+  update(counts: RankCounts): CountDelta | undefined;
 }
 
 /** A rank that started again counts from nothing, so that some count is lower than before. */
-function isContinued(before: RankCounts, after: RankCounts): boolean {
+function isContinuation(before: RankCounts, after: RankCounts): boolean {
   if (before.counts.length !== after.counts.length) return false;
   return after.counts.every((count, index) => count >= (before.counts[index] ?? 0));
 }
@@ -31,22 +31,22 @@
  * A rank's counts only grow while it lives. They go on when its group forms anew: what they grew
  * by since then tells the demand one telling sooner, while streams that waited are all late.
  */
-export function createGrowthMeter(): GrowthMeter {
+export function createCountDeltaTracker(): CountDeltaTracker {
   let last: RankCounts | undefined;
   return {
-    note(counts) {
+    update(counts) {
       const before = last;
       last = counts;
-      if (before === undefined || !isContinued(before, counts)) return undefined;
-      const grown = counts.counts.map((count, index) =>
+      if (before === undefined || !isContinuation(before, counts)) return undefined;
+      const increments = counts.counts.map((count, index) =>
         Math.max(0, count - (before.counts[index] ?? 0)),
       );
-      return { epoch: counts.epoch, counts: grown };
+      return { epoch: counts.epoch, counts: increments };
     },
   };
 }
 
-export interface PackedGrowth {
+export interface QuantizedCountDelta {
   readonly epoch: number;
   /** Choices that one level stands for. */
   readonly unit: number;
@@ -64,22 +64,22 @@
  */
 const COARSE_BITS = 4;
 /** Above this many counts a telling with a byte for each would not fit into one packet. */
-const MOST_FINE_COUNTS = 600;
+const MAXIMUM_FINE_COUNTS = 600;
 
 function bitsFor(counts: readonly number[]): number {
-  return counts.length > MOST_FINE_COUNTS ? COARSE_BITS : FINE_BITS;
+  return counts.length > MAXIMUM_FINE_COUNTS ? COARSE_BITS : FINE_BITS;
 }
 
 /** `random` is uniform in [0, 1); `bits` of one count are 4 or 8. */
-export function packGrowth(
-  growth: CountGrowth,
+export function quantizeCountDelta(
+  delta: CountDelta,
   random: () => number,
-  bits = bitsFor(growth.counts),
-): PackedGrowth {
-  const { epoch, counts } = growth;
-  let most = 0;
-  for (const count of counts) most = Math.max(most, count);
-  const unit = most === 0 ? 1 : most / (2 ** bits - 1);
+  bits = bitsFor(delta.counts),
+): QuantizedCountDelta {
+  const { epoch, counts } = delta;
+  let maximum = 0;
+  for (const count of counts) maximum = Math.max(maximum, count);
+  const unit = maximum === 0 ? 1 : maximum / (2 ** bits - 1);
   const perByte = 8 / bits;
   const bytes = Buffer.alloc(Math.ceil(counts.length / perByte));
   for (const [index, count] of counts.entries()) {
@@ -91,7 +91,7 @@
   return { epoch, unit, length: counts.length, bits, levels: bytes.toString('base64') };
 }
 
-export function unpackGrowth(packed: PackedGrowth): CountGrowth {
+export function dequantizeCountDelta(packed: QuantizedCountDelta): CountDelta {
   const { epoch, unit, length, bits } = packed;
   const bytes = Buffer.from(packed.levels, 'base64');
   const perByte = 8 / bits;
@@ -105,10 +105,10 @@
 }
 
 /** Far above the largest models: 60 sets of 128 experts. */
-const MOST_COUNTS = 100_000;
+const MAXIMUM_COUNTS = 100_000;
 
 /** Undefined where the value is no packed growth. */
-export function decodeGrowth(value: unknown): PackedGrowth | undefined {
+export function decodeCountDelta(value: unknown): QuantizedCountDelta | undefined {
   if (!isObject(value)) return undefined;
   const epoch = numberOf(value, 'epoch');
   const unit = numberOf(value, 'unit');
@@ -116,6 +116,6 @@
   const bits = numberOf(value, 'bits');
   const levels = textOf(value, 'levels');
   if (epoch === undefined || unit === undefined || length === undefined) return undefined;
-  if (bits === undefined || levels === undefined || length > MOST_COUNTS) return undefined;
+  if (bits === undefined || levels === undefined || length > MAXIMUM_COUNTS) return undefined;
   return { epoch, unit, length, bits, levels };
 }
--- a/packages/group-leader/src/first-map.ts
+++ b/packages/group-leader/src/first-map.ts
@@ -4,7 +4,7 @@
 import { initialMap } from '@lapisbridge/placement';
 import type { GroupMap } from '@lapisbridge/placement';
 
-import type { GroupProfile } from './demand-watch.js';
+import type { GroupProfile } from './map-planner.js';
 
 export function firstMap(profile: GroupProfile, ranks: number): GroupMap {
   const sets = Array.from({ length: profile.sets }, () => initialMap(profile.experts, ranks));
--- a/packages/group-leader/src/group-leader.test.ts
+++ b/packages/group-leader/src/group-leader.test.ts
@@ -4,8 +4,8 @@
 import { describe, expect, it } from 'vitest';
 
 import { composeMap } from './compose-map.js';
-import { createGrowthMeter } from './count-growth.js';
-import { createDemand } from './demand.js';
+import { createCountDeltaTracker } from './count-delta.js';
+import { createDemandWindow } from './demand-window.js';
 import { createLeadership } from './leadership.js';
 import type { Leadership } from './leadership.js';
 import { createPassClock } from './pass-clock.js';
@@ -168,40 +168,40 @@
 describe('demand for experts', () => {
   it('is what the counts grew by, and starts anew with a new epoch', () => {
     let now = 0;
-    const demand = createDemand(1000, () => now);
-    const meter = createGrowthMeter();
+    const demand = createDemandWindow(1000, () => now);
+    const deltaTracker = createCountDeltaTracker();
     const tell = (epoch: number, counts: readonly number[]): void => {
-      const growth = meter.note({ epoch, counts });
-      if (growth !== undefined) demand.add(growth);
+      const delta = deltaTracker.update({ epoch, counts });
+      if (delta !== undefined) demand.add(delta);
     };
     tell(1, [100, 100]);
     now = 10;
     tell(1, [110, 130]);
-    expect(demand.total()).toBe(40);
+    expect(demand.totalChoices()).toBe(40);
     tell(2, [5, 5]);
-    expect(demand.total()).toBe(40);
+    expect(demand.totalChoices()).toBe(40);
   });
 
   it('does not age while the group stands still', () => {
     // A rank is cut off for six seconds. Forgetting what was in demand before would leave the
     // group with its first map until enough was counted again, and every stream late.
     let now = 0;
-    const demand = createDemand(1000, () => now);
+    const demand = createDemandWindow(1000, () => now);
     demand.add({ epoch: 1, counts: [100] });
     now = 6000;
     demand.add({ epoch: 2, counts: [10] });
-    expect(demand.total()).toBe(110);
+    expect(demand.totalChoices()).toBe(110);
   });
 
   it('takes nothing of an epoch that is over', () => {
-    const demand = createDemand(1000, () => 0);
+    const demand = createDemandWindow(1000, () => 0);
     demand.add({ epoch: 2, counts: [10] });
     demand.add({ epoch: 1, counts: [100] });
-    expect(demand.total()).toBe(10);
+    expect(demand.totalChoices()).toBe(10);
   });
 
   it('counts a slow rank as slower', () => {
-    const demand = createDemand(1000, () => 0);
+    const demand = createDemandWindow(1000, () => 0);
     demand.add({ epoch: 1, counts: [0, 0] });
     expect(demand.loads(1, [1, 2])[0]?.speeds).toEqual([1, 0.5]);
   });
--- a/packages/group-leader/src/group-leader.ts
+++ b/packages/group-leader/src/group-leader.ts
@@ -21,14 +21,14 @@
   RolloutState,
 } from '@lapisbridge/placement';
 
-import type { DemandWatch, GroupProfile } from './demand-watch.js';
+import type { MapPlanner, GroupProfile } from './map-planner.js';
 import type { Leadership } from './leadership.js';
 import { composeMap } from './compose-map.js';
 import { firstMap } from './first-map.js';
 import { createOrderLosses } from './order-losses.js';
 import { createOrderPacer } from './order-pacer.js';
 import { createPassClock } from './pass-clock.js';
-import { planPace } from './plan-pace.js';
+import { planReportingIntervals } from './reporting-intervals.js';
 import { settleMost } from './settle-most.js';
 import type { RankLink, RankTarget, VersionedMap } from './rank-link.js';
 
@@ -43,7 +43,7 @@
 export interface GroupLeaderOptions {
   readonly leadership: Leadership;
   readonly link: RankLink;
-  readonly demandWatch: DemandWatch;
+  readonly mapPlanner: MapPlanner;
   readonly logger: Logger;
   now(): number;
   /** Last report of the backend server beside this sidecar. */
@@ -77,11 +77,11 @@
 /** A held rank must notice soon that its leader is silent: every stream of the group waits for it. */
 function followingPause({ heldStep, size }: RankReport): number {
   if (heldStep !== undefined) return HOLDING_MILLISECONDS;
-  return planPace(size).isGrowthRelayed ? FOLLOWING_MILLISECONDS : IDLE_MILLISECONDS;
+  return planReportingIntervals(size).areCountsRelayed ? FOLLOWING_MILLISECONDS : IDLE_MILLISECONDS;
 }
 
 export function createGroupLeader(options: GroupLeaderOptions): GroupLeader {
-  const { leadership, link, demandWatch, logger, now } = options;
+  const { leadership, link, mapPlanner, logger, now } = options;
   const maps = new Map<number, GroupMap>();
   const passClock = createPassClock(now);
   const orderPacer = createOrderPacer(now);
@@ -151,12 +151,15 @@
   /** Sets a new target when the demand asks for one. */
   async function considerTarget(fence: number, own: RankReport): Promise<void> {
     const profile = options.profile();
-    if (profile === undefined || !demandWatch.isDue()) return;
+    if (profile === undefined || !mapPlanner.isDue()) return;
     const current = await activeMap(own);
     if (current === undefined) return;
     const overview = options.overview();
-    const paces = Array.from({ length: own.size }, (_, rank) => overview.get(rank)?.pace ?? 1);
-    const map = await demandWatch.consider({ own, current, profile, paces });
+    const slowdownFactors = Array.from(
+      { length: own.size },
+      (_, rank) => overview.get(rank)?.pace ?? 1,
+    );
+    const map = await mapPlanner.plan({ ownReport: own, current, profile, slowdownFactors });
     if (map === undefined) return;
     const version = nextVersion(fence);
     maps.set(version, map);
--- a/packages/group-leader/src/index.ts
+++ b/packages/group-leader/src/index.ts
@@ -2,20 +2,25 @@
  * One lock-step group: who leads it, what its experts' demand is, and how new maps come into
  * force.
  */
-export { createGrowthMeter, decodeGrowth, packGrowth, unpackGrowth } from './count-growth.js';
-export type { CountGrowth, GrowthMeter, PackedGrowth } from './count-growth.js';
+export {
+  createCountDeltaTracker,
+  decodeCountDelta,
+  quantizeCountDelta,
+  dequantizeCountDelta,
+} from './count-delta.js';
+export type { CountDelta, CountDeltaTracker, QuantizedCountDelta } from './count-delta.js';
 export { completeMap } from './compose-map.js';
-export { createDemand } from './demand.js';
-export type { Demand } from './demand.js';
+export { createDemandWindow } from './demand-window.js';
+export type { DemandWindow } from './demand-window.js';
 export { firstMap } from './first-map.js';
 export { createGroupLeader } from './group-leader.js';
-export { createDemandWatch } from './demand-watch.js';
-export type { DemandWatch, DemandWatchOptions, GroupProfile } from './demand-watch.js';
+export { createMapPlanner } from './map-planner.js';
+export type { MapPlanner, MapPlannerOptions, GroupProfile } from './map-planner.js';
 export type { GroupLeader, GroupLeaderOptions, RankOverview } from './group-leader.js';
 export { createLeadership } from './leadership.js';
 export type { Leadership, LeadershipOptions } from './leadership.js';
-export { planPace } from './plan-pace.js';
-export type { TellingPace } from './plan-pace.js';
+export { planReportingIntervals } from './reporting-intervals.js';
+export type { ReportingIntervals } from './reporting-intervals.js';
 export { createReportQuestions } from './report-questions.js';
 export type { ReportQuestions } from './report-questions.js';
 export { passOnPrepare } from './prepare-relay.js';
--- a/packages/group-leader/src/large-group.test.ts
+++ b/packages/group-leader/src/large-group.test.ts
@@ -4,9 +4,13 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 
-import { createGrowthMeter, packGrowth, unpackGrowth } from './count-growth.js';
+import {
+  createCountDeltaTracker,
+  quantizeCountDelta,
+  dequantizeCountDelta,
+} from './count-delta.js';
 import { packChanges, packMap, unpackChanges, unpackMap } from './pack-map.js';
-import { planPace } from './plan-pace.js';
+import { planReportingIntervals } from './reporting-intervals.js';
 import { createReportQuestions } from './report-questions.js';
 import type { ReportQuestions } from './report-questions.js';
 
@@ -23,9 +27,10 @@
     // The leader hears 62 ranks. Where their counts fill its link, reports come seconds late and
     // get lost, no map is ever changed, and once demand shifts every stream is late.
     const counts = Array.from({ length: SETS * EXPERTS }, (_, index) => (index % 97) * 1000);
-    const packed = packGrowth({ epoch: 1, counts }, () => 0.5);
+    const packed = quantizeCountDelta({ epoch: 1, counts }, () => 0.5);
     const perTelling = JSON.stringify(packed).length + ENVELOPE_BYTES;
-    const perSecond = ((RANKS - 1) * perTelling * 1000) / planPace(RANKS).counts;
+    const perSecond =
+      ((RANKS - 1) * perTelling * 1000) / planReportingIntervals(RANKS).countsMilliseconds;
     expect(perSecond).toBeLessThan(LINK_BYTES / 1.5);
   });
 
@@ -47,7 +52,7 @@
     const told = weights.map(() => 0);
     for (let telling = 0; telling < RANKS * 3; telling += 1) {
       const counts = weights.map((weight) => Math.round(weight * 2000 * random()));
-      const heard = unpackGrowth(packGrowth({ epoch: 1, counts }, random)).counts;
+      const heard = dequantizeCountDelta(quantizeCountDelta({ epoch: 1, counts }, random)).counts;
       for (const [index, count] of counts.entries()) {
         exact[index] = (exact[index] ?? 0) + count;
         told[index] = (told[index] ?? 0) + (heard[index] ?? 0);
@@ -139,9 +144,12 @@
   it('go on where its ranks lived on, and start anew where one started again', () => {
     // A rank was cut off for five seconds. The others count on; waiting for two tellings of the
     // new epoch would leave the group with its first map for a third of a second more.
-    const meter = createGrowthMeter();
-    meter.note({ epoch: 1, counts: [10, 10] });
-    expect(meter.note({ epoch: 2, counts: [15, 30] })).toEqual({ epoch: 2, counts: [5, 20] });
-    expect(meter.note({ epoch: 2, counts: [40, 2] })).toBeUndefined();
+    const deltaTracker = createCountDeltaTracker();
+    deltaTracker.update({ epoch: 1, counts: [10, 10] });
+    expect(deltaTracker.update({ epoch: 2, counts: [15, 30] })).toEqual({
+      epoch: 2,
+      counts: [5, 20],
+    });
+    expect(deltaTracker.update({ epoch: 2, counts: [40, 2] })).toBeUndefined();
   });
 });
--- a/packages/group-leader/src/leader-rollout.test.ts
+++ b/packages/group-leader/src/leader-rollout.test.ts
@@ -116,9 +116,9 @@
         return Promise.resolve(OrderOutcome.Accepted);
       },
     },
-    demandWatch: {
+    mapPlanner: {
       isDue: () => !isConsidered,
-      async consider() {
+      async plan() {
         isConsidered = true;
         return NEXT_MAP;
       },
--- a/packages/group-sidecar/src/played-group.ts
+++ b/packages/group-sidecar/src/played-group.ts
@@ -12,7 +12,7 @@
 } from '@lapisbridge/fleet';
 import { askLeader, createLeadership, createRankRelay, firstMap } from '@lapisbridge/group-leader';
 import type {
-  DemandWatch,
+  MapPlanner,
   GroupProfile,
   Leadership,
   RankEngine,
@@ -57,7 +57,7 @@
 export interface PlayedNetwork {
   call(call: JsonCall): Promise<JsonAnswer>;
   createDatagramLink(options: DatagramLinkOptions): DatagramLink;
-  createDemandWatch(): DemandWatch;
+  createDemandWatch(): MapPlanner;
   /** The calls of a leader wait while its machine stands still. */
   wrapLink(engine: RankEngine, link: RankLink): RankLink;
 }
@@ -198,7 +198,7 @@
     },
     createDemandWatch: () => ({
       isDue: () => wanted !== undefined,
-      async consider() {
+      async plan() {
         const map = wanted;
         wanted = undefined;
         return map;
--- a/packages/group-sidecar/src/rank-member.ts
+++ b/packages/group-sidecar/src/rank-member.ts
@@ -5,18 +5,18 @@
 import { createDatagramLink, createSidecarFleet, InstanceRole } from '@lapisbridge/fleet';
 import type { RankState, SentCount } from '@lapisbridge/fleet';
 import {
-  createDemand,
-  createDemandWatch,
+  createDemandWindow,
+  createMapPlanner,
   createGroupLeader,
   createRankLink,
   createReportQuestions,
   firstMap,
-  packGrowth,
-  planPace,
-  unpackGrowth,
+  quantizeCountDelta,
+  planReportingIntervals,
+  dequantizeCountDelta,
 } from '@lapisbridge/group-leader';
 import type {
-  CountGrowth,
+  CountDelta,
   GroupProfile,
   Leadership,
   RankAddress,
@@ -60,8 +60,8 @@
   const { backendServer, engine, leadership, logger, now, random } = options;
   const { instanceId, host, availabilityZone, peerPort, service } = options.settings();
   const self = { instanceId, host, role: InstanceRole.Sidecar, availabilityZone };
-  const demand = createDemand(DEMAND_MILLISECONDS, now);
-  const recentDemand = createDemand(RECENT_DEMAND_MILLISECONDS, now);
+  const demand = createDemandWindow(DEMAND_MILLISECONDS, now);
+  const recentDemand = createDemandWindow(RECENT_DEMAND_MILLISECONDS, now);
   let profile: GroupProfile | undefined;
   let reportedFence: number | undefined;
   let timer: NodeJS.Timeout | undefined;
@@ -110,7 +110,7 @@
     sidecarPort: peerPort,
     seedHosts: () => options.settings().seedHosts,
     state,
-    pace: () => planPace(observer.report()?.size ?? 0),
+    pace: () => planReportingIntervals(observer.report()?.size ?? 0),
     fence: () => leadership.fence(),
     isSettled: () => groupLeader.isSettled(),
     onProfiles(profiles) {
@@ -118,7 +118,7 @@
     },
     onLeader: (fence, isSettled) => leadership.heard(fence, isSettled),
     onGrowth(growth) {
-      if (observer.report()?.isOpen === true) addGrowth(unpackGrowth(growth));
+      if (observer.report()?.isOpen === true) addGrowth(dequantizeCountDelta(growth));
     },
     onQuestion: (from, question) => void answer(from.host, question),
     onAnswer: (question, report) => questions.answered(question, report),
@@ -129,7 +129,7 @@
   const groupLeader = createGroupLeader({
     leadership,
     link: createRankLink({ engine, ask: (sidecar) => questions.ask(sidecar.host), now }),
-    demandWatch: createDemandWatch({ demand, recentDemand, logger, now }),
+    mapPlanner: createMapPlanner({ demand, recentDemand, logger, now }),
     logger,
     now,
     own: () => observer.report(),
@@ -164,14 +164,14 @@
     return known;
   }
 
-  function addGrowth(growth: CountGrowth): void {
+  function addGrowth(growth: CountDelta): void {
     demand.add(growth);
     recentDemand.add(growth);
   }
 
   /** What was chosen since the last look goes to the leader at once: a shift makes streams late. */
-  function onGrowth(growth: CountGrowth): void {
-    if (leadership.fence() === undefined) fleet.tellGrowth(packGrowth(growth, random));
+  function onGrowth(growth: CountDelta): void {
+    if (leadership.fence() === undefined) fleet.tellGrowth(quantizeCountDelta(growth, random));
     else if (observer.report()?.isOpen === true) addGrowth(growth);
   }
 
--- a/packages/group-sidecar/src/rank-observer.ts
+++ b/packages/group-sidecar/src/rank-observer.ts
@@ -2,8 +2,8 @@
  * Watches the backend server beside this sidecar: its state several times a second, and what
  * its requests chose at the pace that the leader can read.
  */
-import { createGrowthMeter, planPace } from '@lapisbridge/group-leader';
-import type { CountGrowth, RankAddress, RankEngine } from '@lapisbridge/group-leader';
+import { createCountDeltaTracker, planReportingIntervals } from '@lapisbridge/group-leader';
+import type { CountDelta, RankAddress, RankEngine } from '@lapisbridge/group-leader';
 import type { Logger } from '@lapisbridge/logger';
 import type { RankReport } from '@lapisbridge/placement';
 
@@ -16,7 +16,7 @@
   isLeading(): boolean;
   /** The group was lost or is back, as this rank sees it. */
   onOpenChanged(): void;
-  onGrowth(growth: CountGrowth): void;
+  onGrowth(growth: CountDelta): void;
   /** A report was read when it was due. */
   onReport(report: RankReport): Promise<void>;
 }
@@ -36,7 +36,7 @@
 
 export function createRankObserver(options: RankObserverOptions): RankObserver {
   const { engine, backendServer, logger, now } = options;
-  const meter = createGrowthMeter();
+  const meter = createCountDeltaTracker();
   let own: RankReport | undefined;
   let countedAt = -Infinity;
   /** Pass of the last counts: without a pass nothing was chosen. */
@@ -51,23 +51,24 @@
 
   async function count(): Promise<void> {
     if (own === undefined) return;
-    const { counts: pause, report } = planPace(own.size);
+    const { countsMilliseconds, reportMilliseconds } = planReportingIntervals(own.size);
     // Counts are read right after a report, so without slack each pause would grow by one of these.
-    if (now() - countedAt < pause - report / 2 || own.step === countedStep) return;
+    if (now() - countedAt < countsMilliseconds - reportMilliseconds / 2 || own.step === countedStep)
+      return;
     const { step } = own;
     const counts = await engine.counts(backendServer);
     countedAt = now();
     countedStep = step;
-    const growth = counts === undefined ? undefined : meter.note(counts);
-    if (growth !== undefined) options.onGrowth(growth);
+    const delta = counts === undefined ? undefined : meter.update(counts);
+    if (delta !== undefined) options.onGrowth(delta);
   }
 
   function pauseAfter(before: RankReport | undefined): number {
     if (own?.heldStep !== undefined) return HELD_MILLISECONDS;
     if (own === undefined || options.isLeading()) return CLOSE_MILLISECONDS;
-    const { report, idleReport } = planPace(own.size);
+    const { reportMilliseconds, idleReportMilliseconds } = planReportingIntervals(own.size);
     const isIdle = own.running + own.waiting === 0 && own.step === before?.step;
-    return isIdle ? idleReport : report;
+    return isIdle ? idleReportMilliseconds : reportMilliseconds;
   }
 
   async function observe(): Promise<void> {
--- a/packages/group-sidecar/src/stopped-leader.test.ts
+++ b/packages/group-sidecar/src/stopped-leader.test.ts
@@ -26,7 +26,7 @@
   const original = await importOriginal();
   return {
     ...original,
-    createDemandWatch: () => played().createDemandWatch(),
+    createMapPlanner: () => played().createDemandWatch(),
     createRankLink: (options) =>
       played().wrapLink(options.engine, original.createRankLink(options)),
   };
