--- a/packages/direct-entry/src/instance-listener.ts
+++ b/packages/direct-entry/src/instance-listener.ts
@@ -5,7 +5,7 @@
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 
-import { passOnPrepare, RelayPath } from '@lapisbridge/group-leader';
+import { forwardPrepare, RelayPath } from '@lapisbridge/group-leader';
 import { parseObject } from '@lapisbridge/json-call';
 import type { Logger } from '@lapisbridge/logger';
 
@@ -34,7 +34,7 @@
 
 async function passOn(incoming: IncomingMessage, response: ServerResponse): Promise<void> {
   const body = parseObject(await readBody(incoming));
-  const outcomes = body === undefined ? {} : await passOnPrepare(body);
+  const outcomes = body === undefined ? {} : await forwardPrepare(body);
   response.writeHead(200, { 'content-type': 'application/json' });
   response.end(JSON.stringify(outcomes));
 }
@@ -43,7 +43,7 @@
   const { logger } = options;
   const server = createServer((incoming, response) => {
     if (options.respondWithCopy(incoming, response)) return;
-    if (incoming.url !== RelayPath.PassOnPrepare) {
+    if (incoming.url !== RelayPath.ForwardPrepare) {
       incoming.resume();
       response.writeHead(404);
       response.end();
--- a/packages/group-leader/src/compose-map.ts
+++ b/packages/group-leader/src/compose-map.ts
@@ -4,16 +4,16 @@
 import type { GroupMap } from '@lapisbridge/placement';
 
 import type { GroupProfile } from './map-planner.js';
-import type { RankMap } from './rank-link.js';
+import type { RankMap } from './rank-client.js';
 
 export interface ComposedMap {
   readonly map: GroupMap;
   /** Whether every rank said what it holds. */
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
 }
 
 /** Ranks that may be out of sight: with two, nobody could tell which of them holds what. */
-const MAXIMUM_MISSING = 1;
+const MAXIMUM_MISSING_RANKS = 1;
 
 /** Experts of a set that no rank names. */
 function findUncovered(
@@ -40,7 +40,7 @@
     if (map === undefined) missing += 1;
     else if (map.version !== version) return undefined;
   }
-  if (missing > MAXIMUM_MISSING) return undefined;
+  if (missing > MAXIMUM_MISSING_RANKS) return undefined;
   const sets: GroupMap['sets'][number][] = [];
   for (let set = 0; set < profile.sets; set += 1) {
     const ranks = rankMaps.map((map) => map?.experts[set]);
@@ -48,14 +48,14 @@
     if (missing === 0 && uncovered.length > 0) return undefined;
     sets.push({ experts: ranks.map((held) => [...(held ?? uncovered)]) });
   }
-  return { map: { sets }, isWhole: missing === 0 };
+  return { map: { sets }, isComplete: missing === 0 };
 }
 
 /**
  * A valid map in which one rank holds what it does now. What the other ranks hold in it is made up:
  * it is for voiding at that rank, and never comes into force.
  */
-export function completeMap(
+export function createPlaceholderMap(
   own: RankMap,
   rank: number,
   ranks: number,
--- a/packages/group-leader/src/count-delta.ts
+++ b/packages/group-leader/src/count-delta.ts
@@ -8,7 +8,7 @@
  */
 import { isObject, numberOf, textOf } from '@lapisbridge/json-call';
 
-import type { RankCounts } from './rank-link.js';
+import type { RankCounts } from './rank-client.js';
 
 /** How often each expert was chosen since the last telling, set after set. */
 export interface CountDelta {
--- a/packages/group-leader/src/group-leader.test.ts
+++ b/packages/group-leader/src/group-leader.test.ts
@@ -212,7 +212,7 @@
 
   it('fills a rank that is out of sight with what nobody else holds', () => {
     const composed = composeMap([{ version: 4, experts: [[0, 1]] }, undefined], 4, profile);
-    expect(composed).toEqual({ map: { sets: [{ experts: [[0, 1], [2]] }] }, isWhole: false });
+    expect(composed).toEqual({ map: { sets: [{ experts: [[0, 1], [2]] }] }, isComplete: false });
   });
 
   it('is not made of two versions, nor of too few ranks', () => {
--- a/packages/group-leader/src/group-leader.ts
+++ b/packages/group-leader/src/group-leader.ts
@@ -24,13 +24,13 @@
 import type { MapPlanner, GroupProfile } from './map-planner.js';
 import type { Leadership } from './leadership.js';
 import { composeMap } from './compose-map.js';
-import { firstMap } from './first-map.js';
+import { initialGroupMap } from './initial-group-map.js';
 import { createOrderLosses } from './order-losses.js';
 import { createOrderPacer } from './order-pacer.js';
 import { createPassClock } from './pass-clock.js';
 import { planReportingIntervals } from './reporting-intervals.js';
 import { settleMost } from './settle-most.js';
-import type { RankLink, RankTarget, VersionedMap } from './rank-link.js';
+import type { RankClient, RankTarget, VersionedMap } from './rank-client.js';
 
 /** What is known of a rank without asking it. */
 export interface RankOverview {
@@ -42,7 +42,7 @@
 
 export interface GroupLeaderOptions {
   readonly leadership: Leadership;
-  readonly link: RankLink;
+  readonly link: RankClient;
   readonly mapPlanner: MapPlanner;
   readonly logger: Logger;
   now(): number;
@@ -111,7 +111,7 @@
     orderPacer.forget();
     // Where it stopped with its machine, every wait for it would keep a held group.
     const silentHost = leadership.silentHost();
-    if (silentHost !== undefined) link.passOver(silentHost);
+    if (silentHost !== undefined) link.markUnreachable(silentHost);
   }
 
   async function readReports(size: number): Promise<(RankReport | undefined)[]> {
@@ -133,7 +133,7 @@
     const { activeVersion, size } = report;
     const profile = options.profile();
     if (profile === undefined) return undefined;
-    if (activeVersion === 0) return firstMap(profile, size);
+    if (activeVersion === 0) return initialGroupMap(profile, size);
     const known = maps.get(activeVersion);
     if (known !== undefined) return known;
     const targets = options.targets();
@@ -144,7 +144,7 @@
       }),
     );
     const composed = composeMap(rankMaps, activeVersion, profile);
-    if (composed?.isWhole === true) maps.set(activeVersion, composed.map);
+    if (composed?.isComplete === true) maps.set(activeVersion, composed.map);
     return composed?.map;
   }
 
--- a/packages/group-leader/src/index.ts
+++ b/packages/group-leader/src/index.ts
@@ -9,10 +9,10 @@
   dequantizeCountDelta,
 } from './count-delta.js';
 export type { CountDelta, CountDeltaTracker, QuantizedCountDelta } from './count-delta.js';
-export { completeMap } from './compose-map.js';
+export { createPlaceholderMap } from './compose-map.js';
 export { createDemandWindow } from './demand-window.js';
 export type { DemandWindow } from './demand-window.js';
-export { firstMap } from './first-map.js';
+export { initialGroupMap } from './initial-group-map.js';
 export { createGroupLeader } from './group-leader.js';
 export { createMapPlanner } from './map-planner.js';
 export type { MapPlanner, MapPlannerOptions, GroupProfile } from './map-planner.js';
@@ -21,20 +21,20 @@
 export type { Leadership, LeadershipOptions } from './leadership.js';
 export { planReportingIntervals } from './reporting-intervals.js';
 export type { ReportingIntervals } from './reporting-intervals.js';
-export { createReportQuestions } from './report-questions.js';
-export type { ReportQuestions } from './report-questions.js';
-export { passOnPrepare } from './prepare-relay.js';
+export { createReportRequests } from './report-requests.js';
+export type { ReportRequests } from './report-requests.js';
+export { forwardPrepare } from './prepare-forwarding.js';
 export { RelayPath } from './relay-path.js';
-export { askLeader, createRankLink } from './rank-link.js';
+export { queryLeader, createRankClient } from './rank-client.js';
 export type {
   RankAddress,
   RankCounts,
   RankEngine,
-  RankLink,
-  RankLinkOptions,
+  RankClient,
+  RankClientOptions,
   RankMap,
   RankTarget,
   VersionedMap,
-} from './rank-link.js';
+} from './rank-client.js';
 export { createRankRelay, startRelayListener } from './relay-listener.js';
 export type { RankRelay, RankRelayOptions, RelayListenerOptions } from './relay-listener.js';
--- a/packages/group-leader/src/first-map.ts
+++ b/packages/group-leader/src/initial-group-map.ts
@@ -6,7 +6,7 @@
 
 import type { GroupProfile } from './map-planner.js';
 
-export function firstMap(profile: GroupProfile, ranks: number): GroupMap {
+export function initialGroupMap(profile: GroupProfile, ranks: number): GroupMap {
   const sets = Array.from({ length: profile.sets }, () => initialMap(profile.experts, ranks));
   return { sets };
 }
--- a/packages/group-leader/src/large-group.test.ts
+++ b/packages/group-leader/src/large-group.test.ts
@@ -9,16 +9,16 @@
   quantizeCountDelta,
   dequantizeCountDelta,
 } from './count-delta.js';
-import { packChanges, packMap, unpackChanges, unpackMap } from './pack-map.js';
+import { packMapDelta, packMap, unpackMapDelta, unpackMap } from './pack-map.js';
 import { planReportingIntervals } from './reporting-intervals.js';
-import { createReportQuestions } from './report-questions.js';
-import type { ReportQuestions } from './report-questions.js';
+import { createReportRequests } from './report-requests.js';
+import type { ReportRequests } from './report-requests.js';
 
 const RANKS = 63;
 const EXPERTS = 252;
 const SETS = 8;
 /** Link of the smallest sidecar that is deployed, in bytes a second. */
-const LINK_BYTES = 5_600_000 / 8;
+const LINK_BYTES_PER_SECOND = 5_600_000 / 8;
 /** The report and the sender's name beside the counts. */
 const ENVELOPE_BYTES = 700;
 
@@ -28,16 +28,16 @@
     // get lost, no map is ever changed, and once demand shifts every stream is late.
     const counts = Array.from({ length: SETS * EXPERTS }, (_, index) => (index % 97) * 1000);
     const packed = quantizeCountDelta({ epoch: 1, counts }, () => 0.5);
-    const perTelling = JSON.stringify(packed).length + ENVELOPE_BYTES;
-    const perSecond =
-      ((RANKS - 1) * perTelling * 1000) / planReportingIntervals(RANKS).countsMilliseconds;
-    expect(perSecond).toBeLessThan(LINK_BYTES / 1.5);
+    const bytesPerReport = JSON.stringify(packed).length + ENVELOPE_BYTES;
+    const bytesPerSecond =
+      ((RANKS - 1) * bytesPerReport * 1000) / planReportingIntervals(RANKS).countsMilliseconds;
+    expect(bytesPerSecond).toBeLessThan(LINK_BYTES_PER_SECOND / 1.5);
   });
 
   it('is sent a map within half a second of the leader’s link', () => {
     const map = { sets: Array.from({ length: SETS }, () => initialMap(EXPERTS, RANKS)) };
     const bytes = JSON.stringify(packMap(map)).length * (RANKS - 1);
-    expect(bytes).toBeLessThan(LINK_BYTES / 2);
+    expect(bytes).toBeLessThan(LINK_BYTES_PER_SECOND / 2);
     expect(unpackMap(packMap(map))).toEqual(map);
   });
 });
@@ -49,18 +49,18 @@
     const random = createRandom(7);
     const weights = Array.from({ length: SETS * EXPERTS }, () => random() ** 3);
     const exact = weights.map(() => 0);
-    const told = weights.map(() => 0);
-    for (let telling = 0; telling < RANKS * 3; telling += 1) {
+    const reported = weights.map(() => 0);
+    for (let round = 0; round < RANKS * 3; round += 1) {
       const counts = weights.map((weight) => Math.round(weight * 2000 * random()));
-      const heard = dequantizeCountDelta(quantizeCountDelta({ epoch: 1, counts }, random)).counts;
+      const decoded = dequantizeCountDelta(quantizeCountDelta({ epoch: 1, counts }, random)).counts;
       for (const [index, count] of counts.entries()) {
         exact[index] = (exact[index] ?? 0) + count;
-        told[index] = (told[index] ?? 0) + (heard[index] ?? 0);
+        reported[index] = (reported[index] ?? 0) + (decoded[index] ?? 0);
       }
     }
     const mean = exact.reduce((sum, count) => sum + count, 0) / exact.length;
     for (const [index, count] of exact.entries()) {
-      expect(Math.abs((told[index] ?? 0) - count)).toBeLessThan(mean * 0.1);
+      expect(Math.abs((reported[index] ?? 0) - count)).toBeLessThan(mean * 0.1);
     }
   });
 });
@@ -93,8 +93,8 @@
   };
 
   it('comes out as it was, and takes less than half of the bytes', () => {
-    const packed = packChanges(base, 0, changed);
-    expect(unpackChanges(base, packed)).toEqual(changed);
+    const packed = packMapDelta(base, 0, changed);
+    expect(unpackMapDelta(base, packed)).toEqual(changed);
     expect(JSON.stringify(packed).length).toBeLessThan(JSON.stringify(packMap(changed)).length / 2);
   });
 
@@ -105,38 +105,38 @@
     const [first, ...others] = base.sets;
     const swapped = [...(first?.experts ?? [])].reverse();
     const other = { sets: [{ experts: swapped }, ...others] };
-    expect(unpackChanges(other, packChanges(base, 0, changed))).toBeUndefined();
-    expect(unpackChanges({ sets: others }, packChanges(base, 0, changed))).toBeUndefined();
+    expect(unpackMapDelta(other, packMapDelta(base, 0, changed))).toBeUndefined();
+    expect(unpackMapDelta({ sets: others }, packMapDelta(base, 0, changed))).toBeUndefined();
   });
 });
 
 describe('a question for a fresh report', () => {
   const report = { rank: 1 } as RankReport;
 
-  function createQuestions(send: (host: string, question: number) => boolean): ReportQuestions {
-    return createReportQuestions({ ownHost: 'own', ownReport: async () => report, send });
+  function createRequests(send: (host: string, question: number) => boolean): ReportRequests {
+    return createReportRequests({ ownHost: 'own', ownReport: async () => report, send });
   }
 
   it('to the own rank is answered without a datagram', async () => {
     // Guards against leaders that wait in vain for an answer of themselves with every look.
-    const questions = createQuestions(() => {
+    const requests = createRequests(() => {
       throw new Error('a datagram was sent');
     });
-    expect(await questions.ask('own')).toBe(report);
+    expect(await requests.requestReport('own')).toBe(report);
   });
 
   it('is answered by its own answer only', async () => {
     const asked: number[] = [];
-    const questions = createQuestions((_, question) => asked.push(question) > 0);
-    const [first, second] = [questions.ask('one'), questions.ask('two')];
-    questions.answered(asked[1] ?? 0, report);
+    const requests = createRequests((_, question) => asked.push(question) > 0);
+    const [first, second] = [requests.requestReport('one'), requests.requestReport('two')];
+    requests.onAnswer(asked[1] ?? 0, report);
     expect(await second).toBe(report);
     // Nothing answers the first: it ends by itself.
     expect(await first).toBeUndefined();
   });
 
   it('ends at once where nobody can be asked', async () => {
-    expect(await createQuestions(() => false).ask('nobody')).toBeUndefined();
+    expect(await createRequests(() => false).requestReport('nobody')).toBeUndefined();
   });
 });
 
--- a/packages/group-leader/src/leader-rollout.test.ts
+++ b/packages/group-leader/src/leader-rollout.test.ts
@@ -5,7 +5,7 @@
 
 import { createGroupLeader } from './group-leader.js';
 import type { GroupLeader, RankOverview } from './group-leader.js';
-import type { RankTarget } from './rank-link.js';
+import type { RankTarget } from './rank-client.js';
 
 const RANKS = 4;
 const PROFILE = { sets: 1, experts: RANKS, placesPerRank: 2, newPerRank: 1 };
@@ -101,7 +101,7 @@
     link: {
       report: async ({ backendServer }) => engines.reports[Number(backendServer.host.at(-1))],
       map: async () => undefined,
-      passOver: () => undefined,
+      markUnreachable: () => undefined,
       order({ backendServer }, { order }) {
         const rank = Number(backendServer.host.at(-1));
         if (order.kind === RankOrderKind.Arm) {
--- a/packages/group-leader/src/pack-map.ts
+++ b/packages/group-leader/src/pack-map.ts
@@ -16,7 +16,7 @@
 }
 
 /** A map told as what differs from one that the receiver has. */
-export interface PackedChanges {
+export interface PackedMapDelta {
   readonly baseVersion: number;
   /** Of the whole map that comes out. */
   readonly digest: string;
@@ -25,15 +25,15 @@
   readonly sets: readonly string[];
 }
 
-const NARROW_EXPERTS = 256;
-const WIDE_BYTES = 2;
+const ONE_BYTE_VALUES = 256;
+const MAXIMUM_WIDTH_BYTES = 2;
 
 function widthOf(map: GroupMap): number {
   let highest = map.sets[0]?.experts.length ?? 0;
   for (const { experts } of map.sets) {
     for (const held of experts) for (const expert of held) highest = Math.max(highest, expert);
   }
-  return highest < NARROW_EXPERTS ? 1 : WIDE_BYTES;
+  return highest < ONE_BYTE_VALUES ? 1 : MAXIMUM_WIDTH_BYTES;
 }
 
 function encodeNumbers(numbers: readonly number[], width: number): string {
@@ -73,7 +73,7 @@
 }
 
 /** About 100 loads change a third of the places: 1.7 KB instead of 4.2 for 63 ranks and 8 sets. */
-export function packChanges(base: GroupMap, baseVersion: number, map: GroupMap): PackedChanges {
+export function packMapDelta(base: GroupMap, baseVersion: number, map: GroupMap): PackedMapDelta {
   const width = widthOf(map);
   const sets = map.sets.map(({ experts }, set) => {
     const before = base.sets[set]?.experts;
@@ -91,7 +91,7 @@
  * the map in force together from what it could see, and a rank whose map came out different
  * would bring two maps into one pass; so what comes out is checked against the digest.
  */
-export function unpackChanges(base: GroupMap, packed: PackedChanges): GroupMap | undefined {
+export function unpackMapDelta(base: GroupMap, packed: PackedMapDelta): GroupMap | undefined {
   if (packed.sets.length !== base.sets.length) return undefined;
   const sets: GroupMap['sets'][number][] = [];
   for (const [set, text] of packed.sets.entries()) {
--- a/packages/group-leader/src/prepare-batches.ts
+++ b/packages/group-leader/src/prepare-batcher.ts
@@ -4,7 +4,7 @@
  */
 import type { OrderOutcome } from '@lapisbridge/placement';
 
-export interface PrepareBatches<Prepare> {
+export interface PrepareBatcher<Prepare> {
   /** Outcome of the order at the sidecar's host. Rejects when the batch could not be passed on. */
   add(entry: string, host: string, prepare: Prepare): Promise<OrderOutcome>;
 }
@@ -16,34 +16,34 @@
 }
 
 /** `pass` is called once a batch is complete. */
-export function createPrepareBatches<Prepare>(
-  pass: (
+export function createPrepareBatcher<Prepare>(
+  sendBatch: (
     entry: string,
     hosts: readonly string[],
     prepare: Prepare,
   ) => Promise<ReadonlyMap<string, OrderOutcome>>,
-  missing: OrderOutcome,
-): PrepareBatches<Prepare> {
-  const open = new Map<string, Batch<Prepare>>();
+  missingOutcome: OrderOutcome,
+): PrepareBatcher<Prepare> {
+  const openBatches = new Map<string, Batch<Prepare>>();
 
-  function begin(entry: string, prepare: Prepare): Batch<Prepare> {
+  function openBatch(entry: string, prepare: Prepare): Batch<Prepare> {
     const hosts: string[] = [];
     // Orders of one look are given synchronously, so all are in the batch by the next microtask.
     const outcomes = Promise.resolve().then(() => {
-      open.delete(entry);
-      return pass(entry, hosts, prepare);
+      openBatches.delete(entry);
+      return sendBatch(entry, hosts, prepare);
     });
     const batch = { prepare, hosts, outcomes };
-    open.set(entry, batch);
+    openBatches.set(entry, batch);
     return batch;
   }
 
   return {
     async add(entry, host, prepare) {
-      const known = open.get(entry);
-      const batch = known?.prepare === prepare ? known : begin(entry, prepare);
+      const existing = openBatches.get(entry);
+      const batch = existing?.prepare === prepare ? existing : openBatch(entry, prepare);
       batch.hosts.push(host);
-      return (await batch.outcomes).get(host) ?? missing;
+      return (await batch.outcomes).get(host) ?? missingOutcome;
     },
   };
 }
--- a/packages/group-leader/src/prepare-relay.test.ts
+++ b/packages/group-leader/src/prepare-forwarding.test.ts
@@ -7,9 +7,9 @@
 import type { GroupMap } from '@lapisbridge/placement';
 import { afterEach, expect, it } from 'vitest';
 
-import { passOnPrepare } from './prepare-relay.js';
-import { createRankLink } from './rank-link.js';
-import type { RankEngine, RankTarget } from './rank-link.js';
+import { forwardPrepare } from './prepare-forwarding.js';
+import { createRankClient } from './rank-client.js';
+import type { RankEngine, RankTarget } from './rank-client.js';
 import { startRelayListener } from './relay-listener.js';
 
 const ENTRY_HOST = '127.0.0.1';
@@ -38,10 +38,12 @@
 });
 
 /** An entry that passes orders on. Returns its port and counts what it was asked. */
-async function startEntry(isAnswering: boolean): Promise<{ port: number; asked: () => number }> {
-  let asked = 0;
+async function startEntry(
+  isAnswering: boolean,
+): Promise<{ port: number; requestCount: () => number }> {
+  let requestCount = 0;
   const server = createServer((incoming, response) => {
-    asked += 1;
+    requestCount += 1;
     if (!isAnswering) {
       response.destroy();
       return;
@@ -50,28 +52,28 @@
     incoming.on('data', (chunk: Buffer) => chunks.push(chunk));
     incoming.on('end', () => {
       const body = JSON.parse(Buffer.concat(chunks).toString()) as Record<string, unknown>;
-      void passOnPrepare(body).then((outcomes) => response.end(JSON.stringify(outcomes)));
+      void forwardPrepare(body).then((outcomes) => response.end(JSON.stringify(outcomes)));
     });
   });
   servers.push(server);
   await new Promise<void>((resolve) => {
     server.listen(0, ENTRY_HOST, resolve);
   });
-  return { port: (server.address() as AddressInfo).port, asked: () => asked };
+  return { port: (server.address() as AddressInfo).port, requestCount: () => requestCount };
 }
 
 const sidecarHost = (rank: number): string => `127.0.0.${rank + 10}`;
 
 /** Sidecars at the entry's port; returns the versions that each rank took. */
 async function startSidecars(port: number): Promise<number[][]> {
-  const taken: number[][] = Array.from({ length: RANKS }, () => []);
+  const receivedVersions: number[][] = Array.from({ length: RANKS }, () => []);
   for (let rank = 0; rank < RANKS; rank += 1) {
     const engine: RankEngine = {
       report: async () => undefined,
       counts: async () => undefined,
       map: async () => undefined,
       async order(_, order) {
-        if (order.kind === RankOrderKind.Prepare) taken[rank]?.push(order.version);
+        if (order.kind === RankOrderKind.Prepare) receivedVersions[rank]?.push(order.version);
         return OrderOutcome.Accepted;
       },
     };
@@ -81,16 +83,16 @@
       backendServer: { host: sidecarHost(rank), port: 1 },
       engine,
       logger: createSilentLogger(),
-      firstMap: () => FIRST,
-      acceptFence: () => true,
-      ownFence: () => undefined,
+      initialGroupMap: () => FIRST,
+      acceptFencingNumber: () => true,
+      ownFencingNumber: () => undefined,
     });
     servers.push(server);
     await new Promise<void>((resolve) => {
       server.once('listening', resolve);
     });
   }
-  return taken;
+  return receivedVersions;
 }
 
 async function prepareAll(port: number): Promise<OrderOutcome[]> {
@@ -100,10 +102,14 @@
     map: async () => undefined,
     order: async () => OrderOutcome.Refused,
   };
-  const link = createRankLink({ engine, ask: async () => undefined, now: () => 1000 });
+  const client = createRankClient({
+    engine,
+    requestReport: async () => undefined,
+    now: () => 1000,
+  });
   const order = { kind: RankOrderKind.Prepare, epoch: 1, version: 5, map: SECOND } as const;
   const base = { version: 0, map: FIRST };
-  const given: Promise<OrderOutcome>[] = [];
+  const outcomes: Promise<OrderOutcome>[] = [];
   for (let rank = 0; rank < RANKS; rank += 1) {
     const address = { host: sidecarHost(rank), port };
     const target: RankTarget = {
@@ -111,25 +117,25 @@
       backendServer: address,
       entry: { host: ENTRY_HOST, port },
     };
-    given.push(link.order(target, { fence: 1, order, base }));
+    outcomes.push(client.order(target, { fence: 1, order, base }));
   }
-  return Promise.all(given);
+  return Promise.all(outcomes);
 }
 
 it('gives an order to prepare to a zone once, whatever the number of its ranks', async () => {
   // Guards against a leader whose link carries a map to each of 129 ranks for seconds: its
   // heartbeats do not get out, another rank takes over, and no map is ever in force.
   const entry = await startEntry(true);
-  const taken = await startSidecars(entry.port);
+  const receivedVersions = await startSidecars(entry.port);
   expect(await prepareAll(entry.port)).toEqual(Array(RANKS).fill(OrderOutcome.Accepted));
-  expect(entry.asked()).toBe(1);
-  expect(taken).toEqual(Array(RANKS).fill([5]));
+  expect(entry.requestCount()).toBe(1);
+  expect(receivedVersions).toEqual(Array(RANKS).fill([5]));
 });
 
 it('gives the order to each rank itself where the zone’s entry does not pass it on', async () => {
   // Guards against a group that keeps its first map because one entry has died.
   const entry = await startEntry(false);
-  const taken = await startSidecars(entry.port);
+  const receivedVersions = await startSidecars(entry.port);
   expect(await prepareAll(entry.port)).toEqual(Array(RANKS).fill(OrderOutcome.Accepted));
-  expect(taken).toEqual(Array(RANKS).fill([5]));
+  expect(receivedVersions).toEqual(Array(RANKS).fill([5]));
 });
--- a/packages/group-leader/src/prepare-relay.ts
+++ b/packages/group-leader/src/prepare-forwarding.ts
@@ -13,9 +13,9 @@
 import { RelayPath } from './relay-path.js';
 
 /** From the leader to the entry and on to the last sidecar of the zone. */
-const RELAYED_MILLISECONDS = 1000;
+const BATCH_TIMEOUT_MILLISECONDS = 1000;
 /** From the entry to one sidecar. */
-const PASSED_ON_MILLISECONDS = 700;
+const SIDECAR_TIMEOUT_MILLISECONDS = 700;
 const OUTCOMES: readonly string[] = Object.values(OrderOutcome);
 
 function decodeOutcome(value: unknown): OrderOutcome {
@@ -23,12 +23,12 @@
 }
 
 /** An entry's part: passes the order on and says what came of it, by host. */
-export async function passOnPrepare(body: JsonObject): Promise<JsonObject> {
+export async function forwardPrepare(body: JsonObject): Promise<JsonObject> {
   const { prepare } = body;
   const port = numberOf(body, 'sidecarPort');
   if (!isObject(prepare) || port === undefined) return {};
   const outcomes: Record<string, OrderOutcome> = {};
-  const passedOn: Promise<void>[] = [];
+  const calls: Promise<void>[] = [];
   for (const host of listOf(body, 'hosts')) {
     if (typeof host !== 'string') continue;
     const call = callJson({
@@ -37,9 +37,9 @@
       method: 'POST',
       path: RelayPath.Prepare,
       body: prepare,
-      timeoutMilliseconds: PASSED_ON_MILLISECONDS,
+      timeoutMilliseconds: SIDECAR_TIMEOUT_MILLISECONDS,
     });
-    passedOn.push(
+    calls.push(
       call.then(
         (answer) => {
           outcomes[host] = decodeOutcome(answer.body.outcome);
@@ -50,7 +50,7 @@
       ),
     );
   }
-  await Promise.all(passedOn);
+  await Promise.all(calls);
   return { outcomes };
 }
 
@@ -61,7 +61,7 @@
 }
 
 /** The leader's part. Rejects when the entry does not answer in time. */
-export async function askToPassOn(
+export async function requestPrepareForwarding(
   entry: { readonly host: string; readonly port: number },
   batch: PrepareBatch,
   agent: Agent,
@@ -69,13 +69,13 @@
   const answer = await callJson({
     ...entry,
     method: 'POST',
-    path: RelayPath.PassOnPrepare,
+    path: RelayPath.ForwardPrepare,
     body: batch,
-    timeoutMilliseconds: RELAYED_MILLISECONDS,
+    timeoutMilliseconds: BATCH_TIMEOUT_MILLISECONDS,
     agent,
   });
-  const told = isObject(answer.body.outcomes) ? answer.body.outcomes : {};
+  const reported = isObject(answer.body.outcomes) ? answer.body.outcomes : {};
   const outcomes = new Map<string, OrderOutcome>();
-  for (const host of batch.hosts) outcomes.set(host, decodeOutcome(told[host]));
+  for (const host of batch.hosts) outcomes.set(host, decodeOutcome(reported[host]));
   return outcomes;
 }
--- a/packages/group-leader/src/rank-link.test.ts
+++ b/packages/group-leader/src/rank-client.test.ts
@@ -4,32 +4,32 @@
 import { OrderOutcome } from '@lapisbridge/placement';
 import { expect, it } from 'vitest';
 
-import { createRankLink } from './rank-link.js';
-import type { RankEngine } from './rank-link.js';
+import { createRankClient } from './rank-client.js';
+import type { RankEngine } from './rank-client.js';
 
 it('asks a rank directly, and does not wait for its frozen sidecar a second time', async () => {
   // A machine freezes with a sidecar on it while a hold stands. Its successor asks all ranks
   // several times before it may release the group; each wait for the frozen one keeps every
   // stream of the group from going on.
-  let questions = 0;
+  let callCount = 0;
   const frozen = createServer(() => {
-    questions += 1;
+    callCount += 1;
   });
   await new Promise<void>((resolve) => {
     frozen.listen(0, '127.0.0.1', resolve);
   });
   const { port } = frozen.address() as AddressInfo;
-  const asked: string[] = [];
+  const engineCalls: string[] = [];
   const engine: RankEngine = {
     async report() {
-      asked.push('report');
+      engineCalls.push('report');
       return undefined;
     },
     async counts() {
       return undefined;
     },
     async map() {
-      asked.push('map');
+      engineCalls.push('map');
       return { version: 3, experts: [] };
     },
     async order() {
@@ -37,18 +37,22 @@
     },
   };
   const clock = { now: 1000 };
-  const link = createRankLink({ engine, ask: async () => undefined, now: () => clock.now });
+  const client = createRankClient({
+    engine,
+    requestReport: async () => undefined,
+    now: () => clock.now,
+  });
   const target = {
     sidecar: { host: '127.0.0.1', port },
     backendServer: { host: '127.0.0.1', port: 1 },
   };
-  expect(await link.map(target)).toMatchObject({ version: 3 });
-  expect(await link.map(target)).toMatchObject({ version: 3 });
-  expect(asked).toEqual(['map', 'map']);
-  expect(questions).toBe(1);
+  expect(await client.map(target)).toMatchObject({ version: 3 });
+  expect(await client.map(target)).toMatchObject({ version: 3 });
+  expect(engineCalls).toEqual(['map', 'map']);
+  expect(callCount).toBe(1);
   clock.now += 600;
-  await link.map(target);
-  expect(questions).toBe(2);
+  await client.map(target);
+  expect(callCount).toBe(2);
   frozen.closeAllConnections();
   frozen.close();
 });
@@ -56,18 +60,18 @@
 it('does not ask a rank whose host was found silent', async () => {
   // A leader replaces one that stopped with its machine. It would wait for that rank with every
   // question, and under a hold all streams of the group wait with it.
-  let questions = 0;
+  let callCount = 0;
   const count = async (): Promise<undefined> => {
-    questions += 1;
+    callCount += 1;
   };
-  const link = createRankLink({
+  const client = createRankClient({
     engine: { report: count, counts: count, map: count, order: async () => OrderOutcome.Unknown },
-    ask: count,
+    requestReport: count,
     now: () => 1000,
   });
   const address = { host: '127.0.0.1', port: 1 };
-  link.passOver(address.host);
-  expect(await link.report({ sidecar: address, backendServer: address })).toBeUndefined();
-  expect(await link.map({ sidecar: address, backendServer: address })).toBeUndefined();
-  expect(questions).toBe(0);
+  client.markUnreachable(address.host);
+  expect(await client.report({ sidecar: address, backendServer: address })).toBeUndefined();
+  expect(await client.map({ sidecar: address, backendServer: address })).toBeUndefined();
+  expect(callCount).toBe(0);
 });
--- a/packages/group-leader/src/rank-link.ts
+++ b/packages/group-leader/src/rank-client.ts
@@ -12,10 +12,10 @@
 import { OrderOutcome, RankOrderKind } from '@lapisbridge/placement';
 import type { GroupMap, RankOrder, RankReport } from '@lapisbridge/placement';
 
-import { packChanges, packMap, unpackChanges, unpackMap } from './pack-map.js';
-import type { PackedChanges, PackedMap } from './pack-map.js';
-import { createPrepareBatches } from './prepare-batches.js';
-import { askToPassOn } from './prepare-relay.js';
+import { packMapDelta, packMap, unpackMapDelta, unpackMap } from './pack-map.js';
+import type { PackedMapDelta, PackedMap } from './pack-map.js';
+import { createPrepareBatcher } from './prepare-batcher.js';
+import { requestPrepareForwarding } from './prepare-forwarding.js';
 import { RelayPath } from './relay-path.js';
 
 export interface RankAddress {
@@ -49,7 +49,7 @@
   readonly map: GroupMap;
 }
 
-export interface RelayedOrder {
+export interface LeaderOrder {
   readonly fence: number;
   readonly order: RankOrder;
   /** The map in force, which the ranks' sidecars are likely to know. */
@@ -63,27 +63,27 @@
   readonly entry?: RankAddress | undefined;
 }
 
-export interface RankLink {
+export interface RankClient {
   report(target: RankTarget): Promise<RankReport | undefined>;
   map(target: RankTarget): Promise<RankMap | undefined>;
-  order(target: RankTarget, relayed: RelayedOrder): Promise<OrderOutcome>;
+  order(target: RankTarget, relayed: LeaderOrder): Promise<OrderOutcome>;
   /** Does not wait for a host that was found silent, for a while. */
-  passOver(host: string): void;
+  markUnreachable(host: string): void;
 }
 
 type PrepareOrder = Extract<RankOrder, { kind: RankOrderKind.Prepare }>;
 
 /** A leader's order to prepare, on its way to a rank's sidecar. */
-export interface PackedPrepare {
+export interface PrepareMessage {
   readonly fence: number;
   readonly epoch: number;
   readonly version: number;
   /** Whole, or as changes where the sidecar is likely to know the map in force. */
   readonly map?: PackedMap;
-  readonly changes?: PackedChanges;
+  readonly changes?: PackedMapDelta;
 }
 
-export interface RelayedPrepare {
+export interface DecodedPrepare {
   readonly fence: number;
   readonly order: PrepareOrder;
 }
@@ -92,7 +92,7 @@
 export function decodePrepare(
   body: JsonObject,
   findMap: (version: number) => GroupMap | undefined,
-): RelayedPrepare | undefined {
+): DecodedPrepare | undefined {
   const fence = numberOf(body, 'fence');
   const epoch = numberOf(body, 'epoch');
   const version = numberOf(body, 'version');
@@ -109,120 +109,125 @@
 ): GroupMap | undefined {
   if (isObject(map) && Array.isArray(map.sets)) return unpackMap(map as unknown as PackedMap);
   if (!isObject(changes) || !Array.isArray(changes.sets)) return undefined;
-  const packed = changes as unknown as PackedChanges;
+  const packed = changes as unknown as PackedMapDelta;
   const base = findMap(packed.baseVersion);
-  return base === undefined ? undefined : unpackChanges(base, packed);
+  return base === undefined ? undefined : unpackMapDelta(base, packed);
 }
 
 /** A relayed call crosses a zone twice and waits for the engine: some ten milliseconds. */
-const RELAY_MILLISECONDS = 180;
+const RELAY_TIMEOUT_MILLISECONDS = 180;
 /**
  * The same for an order to prepare. Maps for 63 ranks take 0.4 s on a small instance's link; a
  * leader that gives up sooner sends the last of them again and again.
  */
-const PREPARE_MILLISECONDS = 1000;
+const PREPARE_TIMEOUT_MILLISECONDS = 1000;
 /** A rank that did not answer is not waited for again at once: the others go on meanwhile. */
-const UNREACHABLE_MILLISECONDS = 500;
+const UNREACHABLE_BACKOFF_MILLISECONDS = 500;
 /**
  * A sidecar that did not answer is passed over for this long. Its machine may be frozen, and a
  * leader that waits for it with every question holds a group 0.7 s longer.
  */
-const SILENT_SIDECAR_MILLISECONDS = 500;
+const UNRESPONSIVE_SIDECAR_BACKOFF_MILLISECONDS = 500;
 
 /** All ranks are sent the same map: it is packed once. */
-interface LastPacked {
+interface PackedTarget {
   readonly target: GroupMap;
   readonly map: PackedMap;
-  readonly changes: PackedChanges;
+  readonly changes: PackedMapDelta;
   /** The order with changes, the same object for all ranks. */
-  readonly prepare: PackedPrepare;
+  readonly prepare: PrepareMessage;
 }
 
-export interface RankLinkOptions {
+export interface RankClientOptions {
   readonly engine: RankEngine;
   /** Asks a sidecar for a fresh report by datagram; undefined when no answer came in time. */
-  ask(sidecar: RankAddress): Promise<RankReport | undefined>;
+  requestReport(sidecar: RankAddress): Promise<RankReport | undefined>;
   now(): number;
 }
 
-export function createRankLink({ engine, ask, now }: RankLinkOptions): RankLink {
+export function createRankClient({ engine, requestReport, now }: RankClientOptions): RankClient {
   // All ranks are asked several times in a rollout, and a new connection each time would take
   // the leader longer than the answers do.
-  const kept = new Agent({ keepAlive: true });
+  const keepAliveAgent = new Agent({ keepAlive: true });
   const unreachableUntil = new Map<string, number>();
-  const silentUntil = new Map<string, number>();
-  let lastPacked: LastPacked | undefined;
+  const unresponsiveUntil = new Map<string, number>();
+  let cachedTarget: PackedTarget | undefined;
 
   async function relay<T>(
     target: RankTarget,
     method: string,
     path: RelayPath,
-    body?: PackedPrepare,
+    body?: PrepareMessage,
   ): Promise<T> {
     const answer = await callJson({
       ...target.sidecar,
       method,
       path,
       body,
-      timeoutMilliseconds: body === undefined ? RELAY_MILLISECONDS : PREPARE_MILLISECONDS,
-      agent: kept,
+      timeoutMilliseconds:
+        body === undefined ? RELAY_TIMEOUT_MILLISECONDS : PREPARE_TIMEOUT_MILLISECONDS,
+      agent: keepAliveAgent,
     });
     if (answer.status !== 200) throw new Error(`the sidecar answered ${answer.status}`);
     return answer.body as T;
   }
 
   /** Through the rank's sidecar, or straight to its backend server where that is silent. */
-  async function reach<T>(
+  async function callWithFallback<T>(
     target: RankTarget,
     relayed: () => Promise<T>,
     direct: () => Promise<T>,
   ): Promise<T | undefined> {
     const { host } = target.sidecar;
-    if ((silentUntil.get(host) ?? 0) < now()) {
+    if ((unresponsiveUntil.get(host) ?? 0) < now()) {
       try {
         return await relayed();
       } catch {
-        silentUntil.set(host, now() + SILENT_SIDECAR_MILLISECONDS);
+        unresponsiveUntil.set(host, now() + UNRESPONSIVE_SIDECAR_BACKOFF_MILLISECONDS);
       }
     }
     return direct().catch(() => undefined);
   }
 
-  function pack(fence: number, order: PrepareOrder, base: VersionedMap): LastPacked {
+  function packTarget(fence: number, order: PrepareOrder, base: VersionedMap): PackedTarget {
     const { map, epoch, version } = order;
-    const known = lastPacked?.prepare;
+    const known = cachedTarget?.prepare;
     const isKnown =
-      lastPacked?.target === map &&
-      lastPacked.changes.baseVersion === base.version &&
+      cachedTarget?.target === map &&
+      cachedTarget.changes.baseVersion === base.version &&
       known?.fence === fence &&
       known.epoch === epoch &&
       known.version === version;
-    if (!isKnown || lastPacked === undefined) {
-      const changes = packChanges(base.map, base.version, map);
+    if (!isKnown || cachedTarget === undefined) {
+      const changes = packMapDelta(base.map, base.version, map);
       const prepare = { fence, epoch, version, changes };
-      lastPacked = { target: map, map: packMap(map), changes, prepare };
+      cachedTarget = { target: map, map: packMap(map), changes, prepare };
     }
-    return lastPacked;
+    return cachedTarget;
   }
 
-  const batches = createPrepareBatches<PackedPrepare>((entry, hosts, prepare) => {
+  const batcher = createPrepareBatcher<PrepareMessage>((entry, hosts, prepare) => {
     const [host = '', port = ''] = entry.split(':');
     const sidecarPort = Number(port);
-    return askToPassOn({ host, port: sidecarPort }, { hosts, sidecarPort, prepare }, kept);
+    return requestPrepareForwarding(
+      { host, port: sidecarPort },
+      { hosts, sidecarPort, prepare },
+      keepAliveAgent,
+    );
   }, OrderOutcome.Unknown);
 
   /** Through the entry of the rank's zone; undefined where the rank must be reached itself. */
-  async function passOn(
+  async function forwardThroughEntry(
     target: RankTarget,
-    prepare: PackedPrepare,
+    prepare: PrepareMessage,
   ): Promise<OrderOutcome | undefined> {
     const { entry, sidecar } = target;
-    if (entry === undefined || (silentUntil.get(entry.host) ?? 0) > now()) return undefined;
+    if (entry === undefined || (unresponsiveUntil.get(entry.host) ?? 0) > now()) return undefined;
     try {
-      const outcome = await batches.add(`${entry.host}:${entry.port}`, sidecar.host, prepare);
+      const outcome = await batcher.add(`${entry.host}:${entry.port}`, sidecar.host, prepare);
       return outcome === OrderOutcome.Refused ? undefined : outcome;
     } catch {
-      silentUntil.set(entry.host, now() + SILENT_SIDECAR_MILLISECONDS);
+      unresponsiveUntil.set(entry.host, now() + UNRESPONSIVE_SIDECAR_BACKOFF_MILLISECONDS);
       return undefined;
     }
   }
@@ -234,10 +239,10 @@
     base: VersionedMap,
   ): Promise<OrderOutcome> {
     const { epoch, version } = order;
-    const { map, changes, prepare } = pack(fence, order, base);
-    const passedOn = await passOn(target, prepare);
-    if (passedOn !== undefined) return passedOn;
-    const send = (body: PackedPrepare): Promise<{ outcome: OrderOutcome }> =>
+    const { map, changes, prepare } = packTarget(fence, order, base);
+    const forwarded = await forwardThroughEntry(target, prepare);
+    if (forwarded !== undefined) return forwarded;
+    const send = (body: PrepareMessage): Promise<{ outcome: OrderOutcome }> =>
       relay(target, 'POST', RelayPath.Prepare, body);
     const { outcome } = await send({ fence, epoch, version, changes });
     if (outcome !== OrderOutcome.Refused) return outcome;
@@ -245,35 +250,35 @@
     return (await send({ fence, epoch, version, map })).outcome;
   }
 
-  function passOver(host: string): void {
-    unreachableUntil.set(host, now() + UNREACHABLE_MILLISECONDS);
+  function markUnreachable(host: string): void {
+    unreachableUntil.set(host, now() + UNREACHABLE_BACKOFF_MILLISECONDS);
   }
 
-  function isPassedOver({ backendServer }: RankTarget): boolean {
+  function isMarkedUnreachable({ backendServer }: RankTarget): boolean {
     return (unreachableUntil.get(backendServer.host) ?? 0) > now();
   }
 
   async function report(target: RankTarget): Promise<RankReport | undefined> {
     const { host } = target.backendServer;
-    if (isPassedOver(target)) return undefined;
-    const found = await reach(
+    if (isMarkedUnreachable(target)) return undefined;
+    const found = await callWithFallback(
       target,
       async () =>
-        (await ask(target.sidecar)) ??
+        (await requestReport(target.sidecar)) ??
         relay<RankReport | undefined>(target, 'GET', RelayPath.Report),
       () => engine.report(target.backendServer),
     );
-    if (found === undefined) passOver(host);
+    if (found === undefined) markUnreachable(host);
     else unreachableUntil.delete(host);
     return found;
   }
 
   return {
     report,
-    passOver,
+    markUnreachable,
     async map(target) {
-      if (isPassedOver(target)) return undefined;
-      return reach(
+      if (isMarkedUnreachable(target)) return undefined;
+      return callWithFallback(
         target,
         () => relay<RankMap | undefined>(target, 'GET', RelayPath.Map),
         () => engine.map(target.backendServer),
@@ -283,7 +288,7 @@
       if (order.kind !== RankOrderKind.Prepare) {
         return engine.order(target.backendServer, order).catch(() => OrderOutcome.Unknown);
       }
-      const outcome = await reach(
+      const outcome = await callWithFallback(
         target,
         () => relayPrepare(target, fence, order, base),
         () => engine.order(target.backendServer, order),
@@ -297,13 +302,13 @@
  * Asks the sidecar at an address for its fencing number; undefined when it does not lead. Rejects
  * when no answer came.
  */
-export async function askLeader(address: RankAddress): Promise<number | undefined> {
+export async function queryLeader(address: RankAddress): Promise<number | undefined> {
   const answer = await callJson({
     ...address,
     method: 'GET',
     path: RelayPath.Leader,
     body: undefined,
-    timeoutMilliseconds: RELAY_MILLISECONDS,
+    timeoutMilliseconds: RELAY_TIMEOUT_MILLISECONDS,
   });
   return numberOf(answer.body, 'fence');
 }
--- a/packages/group-leader/src/relay-listener.test.ts
+++ b/packages/group-leader/src/relay-listener.test.ts
@@ -6,8 +6,8 @@
 import type { GroupMap, RankOrder } from '@lapisbridge/placement';
 import { afterEach, describe, expect, it } from 'vitest';
 
-import { createRankLink } from './rank-link.js';
-import type { RankEngine } from './rank-link.js';
+import { createRankClient } from './rank-client.js';
+import type { RankEngine } from './rank-client.js';
 import { startRelayListener } from './relay-listener.js';
 
 const HOST = '127.0.0.1';
@@ -43,14 +43,16 @@
 });
 
 /** A sidecar that passes orders on to an engine which takes them all. */
-async function start(knowsFirst: boolean): Promise<{ order: typeof order; taken: RankOrder[] }> {
-  const taken: RankOrder[] = [];
+async function startSidecar(
+  knowsFirst: boolean,
+): Promise<{ order: typeof order; orders: RankOrder[] }> {
+  const orders: RankOrder[] = [];
   const engine: RankEngine = {
     report: async () => undefined,
     counts: async () => undefined,
     map: async () => undefined,
     async order(_, taking) {
-      taken.push(taking);
+      orders.push(taking);
       return OrderOutcome.Accepted;
     },
   };
@@ -60,15 +62,19 @@
     backendServer: { host: HOST, port: 1 },
     engine,
     logger: createSilentLogger(),
-    firstMap: () => (knowsFirst ? FIRST : undefined),
-    acceptFence: (fence) => fence >= 5,
-    ownFence: () => undefined,
+    initialGroupMap: () => (knowsFirst ? FIRST : undefined),
+    acceptFencingNumber: (fence) => fence >= 5,
+    ownFencingNumber: () => undefined,
   });
   await new Promise((resolve) => {
     listener.once('listening', resolve);
   });
   const { port } = listener.address() as AddressInfo;
-  const link = createRankLink({ engine, ask: async () => undefined, now: () => 1000 });
+  const client = createRankClient({
+    engine,
+    requestReport: async () => undefined,
+    now: () => 1000,
+  });
   const target = { sidecar: { host: HOST, port }, backendServer: { host: HOST, port: 1 } };
   const order = (
     fence: number,
@@ -76,12 +82,12 @@
     map: GroupMap,
     base: { version: number; map: GroupMap },
   ): Promise<OrderOutcome> =>
-    link.order(target, {
+    client.order(target, {
       fence,
       order: { kind: RankOrderKind.Prepare, epoch: 1, version, map },
       base,
     });
-  return { order, taken };
+  return { order, orders };
 }
 
 describe('an order to prepare', () => {
@@ -89,12 +95,12 @@
     // A sidecar that has just started knows no map; one that has not may know another map by the
     // version that a leader put together. Each has to prepare the very map that was ordered.
     for (const knowsFirst of [true, false]) {
-      const { order, taken } = await start(knowsFirst);
+      const { order, orders } = await startSidecar(knowsFirst);
       const first = { version: 0, map: FIRST };
       expect(await order(5, 7, SECOND, first)).toBe(OrderOutcome.Accepted);
       expect(await order(5, 8, THIRD, { version: 7, map: SECOND })).toBe(OrderOutcome.Accepted);
       expect(await order(5, 9, SECOND, { version: 8, map: FIRST })).toBe(OrderOutcome.Accepted);
-      const maps = taken.map((one) => (one.kind === RankOrderKind.Prepare ? one.map : undefined));
+      const maps = orders.map((one) => (one.kind === RankOrderKind.Prepare ? one.map : undefined));
       expect(maps).toEqual([SECOND, THIRD, SECOND]);
       listener.closeAllConnections();
       listener.close();
@@ -102,8 +108,8 @@
   });
 
   it('of a leader that was replaced goes no further', async () => {
-    const { order, taken } = await start(true);
+    const { order, orders } = await startSidecar(true);
     expect(await order(4, 7, SECOND, { version: 0, map: FIRST })).toBe(OrderOutcome.Fenced);
-    expect(taken).toEqual([]);
+    expect(orders).toEqual([]);
   });
 });
--- a/packages/group-leader/src/relay-listener.ts
+++ b/packages/group-leader/src/relay-listener.ts
@@ -11,8 +11,8 @@
 import { OrderOutcome } from '@lapisbridge/placement';
 import type { GroupMap } from '@lapisbridge/placement';
 
-import { decodePrepare } from './rank-link.js';
-import type { RankAddress, RankEngine } from './rank-link.js';
+import { decodePrepare } from './rank-client.js';
+import type { RankAddress, RankEngine } from './rank-client.js';
 import { RelayPath } from './relay-path.js';
 
 export interface RankRelayOptions {
@@ -20,11 +20,11 @@
   readonly engine: RankEngine;
   readonly logger: Logger;
   /** The map that the group has after it formed, version 0; undefined where it is not known yet. */
-  firstMap(): GroupMap | undefined;
+  initialGroupMap(): GroupMap | undefined;
   /** Takes note of a leader's fencing number; false when a higher one is known. */
-  acceptFence(fence: number): boolean;
+  acceptFencingNumber(fence: number): boolean;
   /** Fencing number while this sidecar leads. */
-  ownFence(): number | undefined;
+  ownFencingNumber(): number | undefined;
 }
 
 export interface RelayListenerOptions extends RankRelayOptions {
@@ -37,16 +37,16 @@
    * The answer to a call of a leader, to be encoded as JSON; undefined where there is no such path.
    * Rejects when the backend server does not answer a question.
    */
-  answer(path: string | undefined, body: Buffer): Promise<unknown>;
+  handle(path: string | undefined, body: Buffer): Promise<unknown>;
 }
 
 /** Longer than the pause between two rollouts mostly is. */
-const KEEP_MILLISECONDS = 30_000;
+const KEEP_ALIVE_TIMEOUT_MILLISECONDS = 30_000;
 /** The map in force, the one being prepared, and one that was given up. */
-const KNOWN_MAPS = 3;
+const REMEMBERED_MAPS = 3;
 const MAXIMUM_ORDER_BYTES = 4 * 1024 * 1024;
 
-function readAll(incoming: IncomingMessage): Promise<Buffer> {
+function readBody(incoming: IncomingMessage): Promise<Buffer> {
   return new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
     let size = 0;
@@ -62,17 +62,17 @@
 
 export function createRankRelay(options: RankRelayOptions): RankRelay {
   const { engine, backendServer, logger } = options;
-  const known = new Map<number, GroupMap>();
+  const knownMaps = new Map<number, GroupMap>();
 
   function findMap(version: number): GroupMap | undefined {
-    return version === 0 ? options.firstMap() : known.get(version);
+    return version === 0 ? options.initialGroupMap() : knownMaps.get(version);
   }
 
   /** Later maps are told as what differs from this one. */
   function remember(version: number, map: GroupMap): void {
-    known.set(version, map);
-    const oldest = Math.min(...known.keys());
-    if (known.size > KNOWN_MAPS) known.delete(oldest);
+    knownMaps.set(version, map);
+    const oldest = Math.min(...knownMaps.keys());
+    if (knownMaps.size > REMEMBERED_MAPS) knownMaps.delete(oldest);
   }
 
   async function relayPrepare(body: Buffer): Promise<unknown> {
@@ -80,7 +80,7 @@
     const relayed = prepare === undefined ? undefined : decodePrepare(prepare, findMap);
     if (relayed === undefined) return { outcome: OrderOutcome.Refused };
     const { fence, order } = relayed;
-    if (!options.acceptFence(fence)) return { outcome: OrderOutcome.Fenced };
+    if (!options.acceptFencingNumber(fence)) return { outcome: OrderOutcome.Fenced };
     remember(order.version, order.map);
     const outcome = await engine.order(backendServer, order).catch(() => OrderOutcome.Unknown);
     logger.decision({
@@ -94,7 +94,7 @@
   }
 
   return {
-    async answer(path, body) {
+    async handle(path, body) {
       switch (path) {
         case RelayPath.Prepare:
           return relayPrepare(body);
@@ -103,7 +103,7 @@
         case RelayPath.Map:
           return engine.map(backendServer);
         case RelayPath.Leader:
-          return { fence: options.ownFence() };
+          return { fence: options.ownFencingNumber() };
         default:
           return undefined;
       }
@@ -116,8 +116,8 @@
   const { logger } = options;
   const relay = createRankRelay(options);
   const server = createServer((incoming, response) => {
-    readAll(incoming)
-      .then((received) => relay.answer(incoming.url, received))
+    readBody(incoming)
+      .then((received) => relay.handle(incoming.url, received))
       .then((body) => {
         response.writeHead(body === undefined ? 404 : 200, { 'content-type': 'application/json' });
         response.end(body === undefined ? '' : JSON.stringify(body));
@@ -128,7 +128,7 @@
         response.end();
       });
   });
-  server.keepAliveTimeout = KEEP_MILLISECONDS;
+  server.keepAliveTimeout = KEEP_ALIVE_TIMEOUT_MILLISECONDS;
   server.on('error', (error) => logger.error('relay listener failed', { reason: error.message }));
   server.listen(options.port, options.host);
   return server;
--- a/packages/group-leader/src/relay-path.ts
+++ b/packages/group-leader/src/relay-path.ts
@@ -6,5 +6,5 @@
   /** Fencing number of the leader here, if it leads. */
   Leader = '/rank/leader',
   /** At an entry: an order to prepare, for several sidecars of its zone. */
-  PassOnPrepare = '/rank/pass-on-prepare',
+  ForwardPrepare = '/rank/pass-on-prepare',
 }
--- a/packages/group-leader/src/report-questions.ts
+++ b/packages/group-leader/src/report-requests.ts
@@ -5,50 +5,50 @@
  */
 import type { RankReport } from '@lapisbridge/placement';
 
-export interface ReportQuestions {
+export interface ReportRequests {
   /** Undefined when no answer came in time. */
-  ask(host: string): Promise<RankReport | undefined>;
+  requestReport(host: string): Promise<RankReport | undefined>;
   /** Takes the answer to a question. */
-  answered(question: number, report: RankReport): void;
+  onAnswer(questionId: number, report: RankReport): void;
 }
 
 /**
  * An answer takes two hops of some milliseconds and a read of the engine; a datagram that was
  * lost is not waited for much longer, since the rank can be asked by HTTP then.
  */
-const ANSWER_MILLISECONDS = 60;
+const ANSWER_TIMEOUT_MILLISECONDS = 60;
 
-export interface ReportQuestionsOptions {
+export interface ReportRequestsOptions {
   readonly ownHost: string;
   /** A fresh report of the rank beside this sidecar, which gets no datagrams of its own. */
   ownReport(): Promise<RankReport | undefined>;
   /** Puts a question to the sidecar at a host; false where none is known there. */
-  send(host: string, question: number): boolean;
+  send(host: string, questionId: number): boolean;
 }
 
-export function createReportQuestions(options: ReportQuestionsOptions): ReportQuestions {
-  const waiting = new Map<number, (report: RankReport | undefined) => void>();
-  let last = 0;
+export function createReportRequests(options: ReportRequestsOptions): ReportRequests {
+  const pending = new Map<number, (report: RankReport | undefined) => void>();
+  let lastQuestionId = 0;
   return {
-    ask(host) {
+    requestReport(host) {
       if (host === options.ownHost) return options.ownReport();
-      last += 1;
-      const question = last;
-      if (!options.send(host, question)) return Promise.resolve(undefined);
+      lastQuestionId += 1;
+      const questionId = lastQuestionId;
+      if (!options.send(host, questionId)) return Promise.resolve(undefined);
       return new Promise((resolve) => {
         const timer = setTimeout(() => {
-          waiting.delete(question);
+          pending.delete(questionId);
           resolve(undefined);
-        }, ANSWER_MILLISECONDS);
-        waiting.set(question, (report) => {
+        }, ANSWER_TIMEOUT_MILLISECONDS);
+        pending.set(questionId, (report) => {
           clearTimeout(timer);
-          waiting.delete(question);
+          pending.delete(questionId);
           resolve(report);
         });
       });
     },
-    answered(question, report) {
-      waiting.get(question)?.(report);
+    onAnswer(questionId, report) {
+      pending.get(questionId)?.(report);
     },
   };
 }
--- a/packages/group-sidecar/src/hold-watch.ts
+++ b/packages/group-sidecar/src/hold-watch.ts
@@ -2,7 +2,7 @@
  * Ends a hold at the rank beside this sidecar that keeps the group waiting, without its leader,
  * which may have stopped. `planHoldEnd` decides; here are the orders, the clock and the log.
  */
-import { completeMap } from '@lapisbridge/group-leader';
+import { createPlaceholderMap } from '@lapisbridge/group-leader';
 import type { GroupProfile, RankAddress, RankEngine } from '@lapisbridge/group-leader';
 import type { Logger } from '@lapisbridge/logger';
 import {
@@ -63,7 +63,7 @@
     const profile = options.profile();
     const own = await engine.map(backendServer);
     if (profile === undefined || own === undefined) return OrderOutcome.Unknown;
-    const map = completeMap(own, rank, size, profile);
+    const map = createPlaceholderMap(own, rank, size, profile);
     return give(report, { kind: RankOrderKind.Prepare, epoch, version, map });
   }
 
--- a/packages/group-sidecar/src/played-group.ts
+++ b/packages/group-sidecar/src/played-group.ts
@@ -10,13 +10,18 @@
   FleetMessage,
   InstanceName,
 } from '@lapisbridge/fleet';
-import { askLeader, createLeadership, createRankRelay, firstMap } from '@lapisbridge/group-leader';
+import {
+  queryLeader,
+  createLeadership,
+  createRankRelay,
+  initialGroupMap,
+} from '@lapisbridge/group-leader';
 import type {
   MapPlanner,
   GroupProfile,
   Leadership,
   RankEngine,
-  RankLink,
+  RankClient,
   RankRelay,
 } from '@lapisbridge/group-leader';
 import { TransactionKind } from '@lapisbridge/catalog';
@@ -59,7 +64,7 @@
   createDatagramLink(options: DatagramLinkOptions): DatagramLink;
   createDemandWatch(): MapPlanner;
   /** The calls of a leader wait while its machine stands still. */
-  wrapLink(engine: RankEngine, link: RankLink): RankLink;
+  wrapLink(engine: RankEngine, link: RankClient): RankClient;
 }
 
 const SERVICE = 'model';
@@ -127,7 +132,7 @@
   const { ranks } = options;
   const now = monotonicClock;
   const random = createRandom(options.seed);
-  const first = firstMap(PROFILE, ranks);
+  const first = initialGroupMap(PROFILE, ranks);
   const engines = playEngines(ranks, first, now);
   const machines = Array.from({ length: ranks }, (): Machine => ({ stopped: undefined }));
   const sidecars: PlayedSidecar[] = [];
@@ -182,7 +187,7 @@
   const network: PlayedNetwork = {
     async call({ host, path, body, timeoutMilliseconds }) {
       const answered = reach(ENTRY_HOST, host, () =>
-        sidecars[rankOf(host)]?.relay.answer(path, Buffer.from(JSON.stringify(body ?? {}))),
+        sidecars[rankOf(host)]?.relay.handle(path, Buffer.from(JSON.stringify(body ?? {}))),
       );
       const answer = await within(timeoutMilliseconds, answered);
       return { status: answer === undefined ? 404 : 200, body: (answer ?? {}) as JsonObject };
@@ -216,7 +221,7 @@
         report: (target) => paused(() => link.report(target)),
         map: (target) => paused(() => link.map(target)),
         order: (target, relayed) => paused(() => link.order(target, relayed)),
-        passOver: (silent) => link.passOver(silent),
+        markUnreachable: (silent) => link.markUnreachable(silent),
       };
     },
   };
@@ -276,7 +281,7 @@
       },
       instanceId: host,
       host,
-      ask: (leader) => call(() => askLeader({ host: leader, port: SIDECAR_PORT })),
+      ask: (leader) => call(() => queryLeader({ host: leader, port: SIDECAR_PORT })),
       logger,
       now,
       random,
@@ -312,9 +317,9 @@
       backendServer,
       engine,
       logger,
-      firstMap: () => member.firstMap(),
-      acceptFence: (fence) => leadership.accept(fence),
-      ownFence: () => leadership.fence(),
+      initialGroupMap: () => member.firstMap(),
+      acceptFencingNumber: (fence) => leadership.accept(fence),
+      ownFencingNumber: () => leadership.fence(),
     });
     return { leadership, member, relay };
   }
--- a/packages/group-sidecar/src/rank-member.ts
+++ b/packages/group-sidecar/src/rank-member.ts
@@ -8,9 +8,9 @@
   createDemandWindow,
   createMapPlanner,
   createGroupLeader,
-  createRankLink,
-  createReportQuestions,
-  firstMap,
+  createRankClient,
+  createReportRequests,
+  initialGroupMap,
   quantizeCountDelta,
   planReportingIntervals,
   dequantizeCountDelta,
@@ -93,7 +93,7 @@
     now,
     onMessage: (from, message) => fleet.receive(from, message),
   });
-  const questions = createReportQuestions({
+  const questions = createReportRequests({
     ownHost: host,
     async ownReport() {
       await observer.refresh();
@@ -121,14 +121,18 @@
       if (observer.report()?.isOpen === true) addGrowth(dequantizeCountDelta(growth));
     },
     onQuestion: (from, question) => void answer(from.host, question),
-    onAnswer: (question, report) => questions.answered(question, report),
+    onAnswer: (question, report) => questions.onAnswer(question, report),
     send: (to, message) => link.send(to, message),
     now,
   });
 
   const groupLeader = createGroupLeader({
     leadership,
-    link: createRankLink({ engine, ask: (sidecar) => questions.ask(sidecar.host), now }),
+    link: createRankClient({
+      engine,
+      requestReport: (sidecar) => questions.requestReport(sidecar.host),
+      now,
+    }),
     mapPlanner: createMapPlanner({ demand, recentDemand, logger, now }),
     logger,
     now,
@@ -201,7 +205,7 @@
       const report = observer.report();
       return profile === undefined || report === undefined
         ? undefined
-        : firstMap(profile, report.size);
+        : initialGroupMap(profile, report.size);
     },
     sent: () => link.sent(),
     async start() {
--- a/packages/group-sidecar/src/start-sidecar.ts
+++ b/packages/group-sidecar/src/start-sidecar.ts
@@ -3,7 +3,7 @@
  * server's part in its lock-step group.
  */
 import type { Store } from '@lapisbridge/catalog';
-import { askLeader, createLeadership, startRelayListener } from '@lapisbridge/group-leader';
+import { queryLeader, createLeadership, startRelayListener } from '@lapisbridge/group-leader';
 import type { RankAddress, RankEngine } from '@lapisbridge/group-leader';
 import { createRandom, monotonicClock } from '@lapisbridge/kernel';
 import { createMetrics, startMetricsListener } from '@lapisbridge/metrics';
@@ -60,7 +60,7 @@
     }),
     instanceId,
     host,
-    ask: (leaderHost) => askLeader({ host: leaderHost, port: peerPort }),
+    ask: (leaderHost) => queryLeader({ host: leaderHost, port: peerPort }),
     logger,
     now: monotonicClock,
     random,
@@ -80,9 +80,9 @@
     backendServer: backendServerAddress,
     engine: adapters.engine,
     logger,
-    firstMap: () => member.firstMap(),
-    acceptFence: (fence) => leadership.accept(fence),
-    ownFence: () => leadership.fence(),
+    initialGroupMap: () => member.firstMap(),
+    acceptFencingNumber: (fence) => leadership.accept(fence),
+    ownFencingNumber: () => leadership.fence(),
   });
   describeMember(metrics, member, () => leadership.fence() !== undefined);
   metrics.datagrams(() => member.sent());
--- a/packages/group-sidecar/src/stopped-leader.test.ts
+++ b/packages/group-sidecar/src/stopped-leader.test.ts
@@ -27,8 +27,8 @@
   return {
     ...original,
     createMapPlanner: () => played().createDemandWatch(),
-    createRankLink: (options) =>
-      played().wrapLink(options.engine, original.createRankLink(options)),
+    createRankClient: (options) =>
+      played().wrapLink(options.engine, original.createRankClient(options)),
   };
 });
 
