--- a/packages/group-leader/src/group-leader.test.ts
+++ b/packages/group-leader/src/group-leader.test.ts
@@ -8,18 +8,18 @@
 import { createDemandWindow } from './demand-window.js';
 import { createLeadership } from './leadership.js';
 import type { Leadership } from './leadership.js';
-import { createPassClock } from './pass-clock.js';
+import { createPassDurationEstimator } from './pass-duration.js';
 
 interface FakeStore extends Store {
-  isLosing: boolean;
+  isLosingAnswers: boolean;
 }
 
 /** One row under a condition; while it is losing, writes take effect and are not answered. */
-function fakeStore(): FakeStore {
+function createFakeStore(): FakeStore {
   let row: StoreRow | undefined;
   let revision = 10;
   return {
-    isLosing: false,
+    isLosingAnswers: false,
     list: async () => ({ rows: row === undefined ? [] : [row], revision, givenAt: 0 }),
     feed: async () => {
       throw new Error('not used');
@@ -30,7 +30,7 @@
       }
       revision += 1;
       row = { table, part, key: write.key, value: write.value, revision };
-      if (this.isLosing) return { kind: TransactionKind.Unknown, revision: 0 };
+      if (this.isLosingAnswers) return { kind: TransactionKind.Unknown, revision: 0 };
       return { kind: TransactionKind.Applied, revision };
     },
   };
@@ -41,17 +41,17 @@
   readonly clock: { now: number };
 }
 
-function member(
+function createMember(
   store: Store,
   instanceId: string,
-  answering: () => number | undefined | Promise<never> = () => undefined,
+  answerQuery: () => number | undefined | Promise<never> = () => undefined,
 ): Member {
   const clock = { now: 0 };
   const leadership = createLeadership({
     store,
     instanceId,
     host: instanceId,
-    ask: async () => answering(),
+    queryLeader: async () => answerQuery(),
     logger: createSilentLogger(),
     now: () => clock.now,
     random: () => 0.5,
@@ -61,107 +61,109 @@
 
 describe('leading a group', () => {
   it('falls to one of two that claim it at once', async () => {
-    const store = fakeStore();
-    const one = member(store, 'one');
-    const two = member(store, 'two');
+    const store = createFakeStore();
+    const one = createMember(store, 'one');
+    const two = createMember(store, 'two');
     one.clock.now = 5000;
     two.clock.now = 5000;
     await Promise.all([
-      one.leadership.tend({ group: 'group', rank: 0, isHeld: false }),
-      two.leadership.tend({ group: 'group', rank: 1, isHeld: false }),
+      one.leadership.claimOrVerify({ group: 'group', rank: 0, isHeld: false }),
+      two.leadership.claimOrVerify({ group: 'group', rank: 1, isHeld: false }),
     ]);
-    const leading = [one, two].filter(({ leadership }) => leadership.fence() !== undefined);
+    const leading = [one, two].filter(({ leadership }) => leadership.fencingNumber() !== undefined);
     expect(leading).toHaveLength(1);
   });
 
   it('is found out when the answer to the claim was lost', async () => {
     // The row names this instance, and it does not know. Nobody would lead, and demand would
     // shift away from the maps.
-    const store = fakeStore();
-    store.isLosing = true;
-    const one = member(store, 'one');
+    const store = createFakeStore();
+    store.isLosingAnswers = true;
+    const one = createMember(store, 'one');
     one.clock.now = 5000;
-    await one.leadership.tend({ group: 'group', rank: 0, isHeld: false });
-    expect(one.leadership.fence()).toBeUndefined();
+    await one.leadership.claimOrVerify({ group: 'group', rank: 0, isHeld: false });
+    expect(one.leadership.fencingNumber()).toBeUndefined();
     one.clock.now = 8000;
-    await one.leadership.tend({ group: 'group', rank: 0, isHeld: false });
-    expect(one.leadership.fence()).toBe(11);
+    await one.leadership.claimOrVerify({ group: 'group', rank: 0, isHeld: false });
+    expect(one.leadership.fencingNumber()).toBe(11);
   });
 
   it('is not taken from a leader that lives although its datagrams do not arrive', async () => {
-    const store = fakeStore();
-    const one = member(store, 'one');
+    const store = createFakeStore();
+    const one = createMember(store, 'one');
     one.clock.now = 5000;
-    await one.leadership.tend({ group: 'group', rank: 0, isHeld: false });
-    const two = member(store, 'two', () => one.leadership.fence());
+    await one.leadership.claimOrVerify({ group: 'group', rank: 0, isHeld: false });
+    const two = createMember(store, 'two', () => one.leadership.fencingNumber());
     two.clock.now = 5000;
-    await two.leadership.tend({ group: 'group', rank: 1, isHeld: false });
-    expect(two.leadership.fence()).toBeUndefined();
-    expect(one.leadership.fence()).toBe(11);
+    await two.leadership.claimOrVerify({ group: 'group', rank: 1, isHeld: false });
+    expect(two.leadership.fencingNumber()).toBeUndefined();
+    expect(one.leadership.fencingNumber()).toBe(11);
   });
 
   it('ends when a newer leader is heard, and is in doubt after a standstill', async () => {
     // A leader freezes, is replaced, and wakes with orders in mind: two leaders would steer the
     // ranks by turns.
-    const store = fakeStore();
-    const one = member(store, 'one');
+    const store = createFakeStore();
+    const one = createMember(store, 'one');
     one.clock.now = 5000;
-    await one.leadership.tend({ group: 'group', rank: 0, isHeld: false });
-    one.leadership.doubt();
-    expect(one.leadership.fence()).toBeUndefined();
-    const two = member(store, 'two');
+    await one.leadership.claimOrVerify({ group: 'group', rank: 0, isHeld: false });
+    one.leadership.requireVerification();
+    expect(one.leadership.fencingNumber()).toBeUndefined();
+    const two = createMember(store, 'two');
     two.clock.now = 9000;
-    await two.leadership.tend({ group: 'group', rank: 1, isHeld: false });
+    await two.leadership.claimOrVerify({ group: 'group', rank: 1, isHeld: false });
     one.clock.now = 9000;
-    await one.leadership.tend({ group: 'group', rank: 0, isHeld: false });
-    expect(one.leadership.fence()).toBeUndefined();
-    expect(two.leadership.fence()).toBe(12);
-    expect(two.leadership.accept(11)).toBe(false);
+    await one.leadership.claimOrVerify({ group: 'group', rank: 0, isHeld: false });
+    expect(one.leadership.fencingNumber()).toBeUndefined();
+    expect(two.leadership.fencingNumber()).toBe(12);
+    expect(two.leadership.acceptFencingNumber(11)).toBe(false);
   });
 
   it('is claimed sooner by the rank that holds the group', async () => {
     // The leader freezes while a hold stands, and with it every stream of the group. Callers
     // leave after two seconds, so nobody may wait for the usual silence.
-    const store = fakeStore();
-    const held = member(store, 'held');
-    const other = member(store, 'other');
-    for (const { leadership } of [held, other]) leadership.heard(5, true);
+    const store = createFakeStore();
+    const held = createMember(store, 'held');
+    const other = createMember(store, 'other');
+    for (const { leadership } of [held, other]) leadership.onLeaderHeartbeat(5, true);
     held.clock.now = 500;
     other.clock.now = 500;
-    await other.leadership.tend({ group: 'group', rank: 0, isHeld: false });
-    expect(other.leadership.fence()).toBeUndefined();
-    await held.leadership.tend({ group: 'group', rank: 9, isHeld: true });
-    expect(held.leadership.fence()).toBe(11);
+    await other.leadership.claimOrVerify({ group: 'group', rank: 0, isHeld: false });
+    expect(other.leadership.fencingNumber()).toBeUndefined();
+    await held.leadership.claimOrVerify({ group: 'group', rank: 9, isHeld: true });
+    expect(held.leadership.fencingNumber()).toBe(11);
   });
 
   it('names the former leader’s rank only if that leader was heard to be settled', async () => {
-    const store = fakeStore();
-    const one = member(store, 'one');
+    const store = createFakeStore();
+    const one = createMember(store, 'one');
     one.clock.now = 5000;
-    await one.leadership.tend({ group: 'group', rank: 4, isHeld: false });
+    await one.leadership.claimOrVerify({ group: 'group', rank: 4, isHeld: false });
     for (const isSettled of [false, true]) {
-      const next = member(store, `next ${isSettled}`);
-      next.leadership.heard(isSettled ? 12 : 11, isSettled);
+      const next = createMember(store, `next ${isSettled}`);
+      next.leadership.onLeaderHeartbeat(isSettled ? 12 : 11, isSettled);
       next.clock.now = 9000;
-      await next.leadership.tend({ group: 'group', rank: 2, isHeld: false });
-      expect(next.leadership.formerRank()).toBe(isSettled ? 2 : undefined);
+      await next.leadership.claimOrVerify({ group: 'group', rank: 2, isHeld: false });
+      expect(next.leadership.previousLeaderRank()).toBe(isSettled ? 2 : undefined);
     }
   });
 
   it('names the host of the former leader only if that did not answer', async () => {
-    const store = fakeStore();
-    const one = member(store, 'one');
+    const store = createFakeStore();
+    const one = createMember(store, 'one');
     one.clock.now = 5000;
-    await one.leadership.tend({ group: 'group', rank: 0, isHeld: false });
-    const two = member(store, 'two');
+    await one.leadership.claimOrVerify({ group: 'group', rank: 0, isHeld: false });
+    const two = createMember(store, 'two');
     two.clock.now = 9000;
-    await two.leadership.tend({ group: 'group', rank: 1, isHeld: false });
-    expect(two.leadership.silentHost()).toBeUndefined();
-    const three = member(store, 'three', () => Promise.reject(new Error('no answer in time')));
+    await two.leadership.claimOrVerify({ group: 'group', rank: 1, isHeld: false });
+    expect(two.leadership.unresponsiveLeaderHost()).toBeUndefined();
+    const three = createMember(store, 'three', () =>
+      Promise.reject(new Error('no answer in time')),
+    );
     three.clock.now = 9000;
-    await three.leadership.tend({ group: 'group', rank: 2, isHeld: false });
-    expect(three.leadership.fence()).toBe(13);
-    expect(three.leadership.silentHost()).toBe('two');
+    await three.leadership.claimOrVerify({ group: 'group', rank: 2, isHeld: false });
+    expect(three.leadership.fencingNumber()).toBe(13);
+    expect(three.leadership.unresponsiveLeaderHost()).toBe('two');
   });
 });
 
@@ -170,15 +172,15 @@
     let now = 0;
     const demand = createDemandWindow(1000, () => now);
     const deltaTracker = createCountDeltaTracker();
-    const tell = (epoch: number, counts: readonly number[]): void => {
+    const report = (epoch: number, counts: readonly number[]): void => {
       const delta = deltaTracker.update({ epoch, counts });
       if (delta !== undefined) demand.add(delta);
     };
-    tell(1, [100, 100]);
+    report(1, [100, 100]);
     now = 10;
-    tell(1, [110, 130]);
+    report(1, [110, 130]);
     expect(demand.totalChoices()).toBe(40);
-    tell(2, [5, 5]);
+    report(2, [5, 5]);
     expect(demand.totalChoices()).toBe(40);
   });
 
@@ -224,10 +226,10 @@
 
 it('measures a pass over the last tenths of a second', () => {
   let now = 0;
-  const clock = createPassClock(() => now);
+  const passDuration = createPassDurationEstimator(() => now);
   for (let step = 0; step < 20; step += 1) {
-    clock.observe(step);
+    passDuration.observe(step);
     now += 50;
   }
-  expect(clock.milliseconds()).toBe(50);
+  expect(passDuration.averageMilliseconds()).toBe(50);
 });
--- a/packages/group-leader/src/group-leader.ts
+++ b/packages/group-leader/src/group-leader.ts
@@ -25,11 +25,11 @@
 import type { Leadership } from './leadership.js';
 import { composeMap } from './compose-map.js';
 import { initialGroupMap } from './initial-group-map.js';
-import { createOrderLosses } from './order-losses.js';
-import { createOrderPacer } from './order-pacer.js';
-import { createPassClock } from './pass-clock.js';
+import { createLossEstimator } from './order-loss-estimator.js';
+import { createOrderThrottle } from './order-throttle.js';
+import { createPassDurationEstimator } from './pass-duration.js';
 import { planReportingIntervals } from './reporting-intervals.js';
-import { settleMost } from './settle-most.js';
+import { settleWithoutStragglers } from './settle-without-stragglers.js';
 import type { RankClient, RankTarget, VersionedMap } from './rank-client.js';
 
 /** What is known of a rank without asking it. */
@@ -42,16 +42,16 @@
 
 export interface GroupLeaderOptions {
   readonly leadership: Leadership;
-  readonly link: RankClient;
+  readonly rankClient: RankClient;
   readonly mapPlanner: MapPlanner;
   readonly logger: Logger;
   now(): number;
   /** Last report of the backend server beside this sidecar. */
-  own(): RankReport | undefined;
+  ownReport(): RankReport | undefined;
   /** Where the ranks of the group are, as far as known. */
   targets(): ReadonlyMap<number, RankTarget>;
   /** What was heard of the ranks, by rank. */
-  overview(): ReadonlyMap<number, RankOverview>;
+  overviews(): ReadonlyMap<number, RankOverview>;
   profile(): GroupProfile | undefined;
 }
 
@@ -63,55 +63,57 @@
 }
 
 /** Between two looks while nothing changes, and while a rollout is on its way. */
-const IDLE_MILLISECONDS = 60;
+const IDLE_INTERVAL_MILLISECONDS = 60;
 /** Between two looks of a large group's rank at whether the leader is silent. */
-const FOLLOWING_MILLISECONDS = 200;
-const BUSY_MILLISECONDS = 4;
+const LARGE_GROUP_FOLLOWER_INTERVAL_MILLISECONDS = 200;
+const ROLLOUT_INTERVAL_MILLISECONDS = 4;
 /** Between two looks of a rank that holds its group at whether the leader is silent. */
-const HOLDING_MILLISECONDS = 20;
+const HELD_FOLLOWER_INTERVAL_MILLISECONDS = 20;
 /** A loop this late was frozen; somebody else may lead by now. */
-const STOOD_STILL_MILLISECONDS = 700;
+const STALL_THRESHOLD_MILLISECONDS = 700;
 /** Reports older than this decide nothing: the slowest answer waited for, and a little. */
-const STALE_MILLISECONDS = 800;
+const MAXIMUM_REPORT_AGE_MILLISECONDS = 800;
 
 /** A held rank must notice soon that its leader is silent: every stream of the group waits for it. */
-function followingPause({ heldStep, size }: RankReport): number {
-  if (heldStep !== undefined) return HOLDING_MILLISECONDS;
-  return planReportingIntervals(size).areCountsRelayed ? FOLLOWING_MILLISECONDS : IDLE_MILLISECONDS;
+function followerInterval({ heldStep, size }: RankReport): number {
+  if (heldStep !== undefined) return HELD_FOLLOWER_INTERVAL_MILLISECONDS;
+  return planReportingIntervals(size).areCountsRelayed
+    ? LARGE_GROUP_FOLLOWER_INTERVAL_MILLISECONDS
+    : IDLE_INTERVAL_MILLISECONDS;
 }
 
 export function createGroupLeader(options: GroupLeaderOptions): GroupLeader {
-  const { leadership, link, mapPlanner, logger, now } = options;
+  const { leadership, rankClient, mapPlanner, logger, now } = options;
   const maps = new Map<number, GroupMap>();
-  const passClock = createPassClock(now);
-  const orderPacer = createOrderPacer(now);
-  const orderLosses = createOrderLosses(now);
+  const passDuration = createPassDurationEstimator(now);
+  const orderThrottle = createOrderThrottle(now);
+  const orderLosses = createLossEstimator(now);
   let state: RolloutState = initialRollout(-1);
-  let ledFence: number | undefined;
-  let versions = 0;
+  let termFencingNumber: number | undefined;
+  let issuedVersions = 0;
   let voidingVersion = 0;
   let lastObstacle = '';
-  let rolloutBegan = 0;
+  let rolloutStartedAt = 0;
   let lastPhase = RolloutPhase.Idle;
   let timer: NodeJS.Timeout | undefined;
   let stopped = false;
   let lastTickAt = now();
 
-  function nextVersion(fence: number): number {
-    versions += 1;
-    return leaderVersion(fence, versions);
+  function nextVersion(fencingNumber: number): number {
+    issuedVersions += 1;
+    return leaderVersion(fencingNumber, issuedVersions);
   }
 
-  function beginLeading(fence: number): void {
-    ledFence = fence;
-    versions = 0;
-    voidingVersion = nextVersion(fence);
+  function beginTerm(fencingNumber: number): void {
+    termFencingNumber = fencingNumber;
+    issuedVersions = 0;
+    voidingVersion = nextVersion(fencingNumber);
     state = initialRollout(-1);
     maps.clear();
-    orderPacer.forget();
+    orderThrottle.reset();
     // Where it stopped with its machine, every wait for it would keep a held group.
-    const silentHost = leadership.silentHost();
-    if (silentHost !== undefined) link.markUnreachable(silentHost);
+    const silentHost = leadership.unresponsiveLeaderHost();
+    if (silentHost !== undefined) rankClient.markUnreachable(silentHost);
   }
 
   async function readReports(size: number): Promise<(RankReport | undefined)[]> {
@@ -119,7 +121,7 @@
     return Promise.all(
       Array.from({ length: size }, async (_, rank) => {
         const target = targets.get(rank);
-        return target === undefined ? undefined : link.report(target);
+        return target === undefined ? undefined : rankClient.report(target);
       }),
     );
   }
@@ -129,7 +131,7 @@
    * sight is filled in with the experts that nobody else holds: enough to make orders at the
    * others void, and not kept.
    */
-  async function activeMap(report: RankReport): Promise<GroupMap | undefined> {
+  async function findActiveMap(report: RankReport): Promise<GroupMap | undefined> {
     const { activeVersion, size } = report;
     const profile = options.profile();
     if (profile === undefined) return undefined;
@@ -140,7 +142,7 @@
     const rankMaps = await Promise.all(
       Array.from({ length: size }, async (_, rank) => {
         const target = targets.get(rank);
-        return target === undefined ? undefined : link.map(target);
+        return target === undefined ? undefined : rankClient.map(target);
       }),
     );
     const composed = composeMap(rankMaps, activeVersion, profile);
@@ -149,60 +151,60 @@
   }
 
   /** Sets a new target when the demand asks for one. */
-  async function considerTarget(fence: number, own: RankReport): Promise<void> {
+  async function planTarget(fencingNumber: number, ownReport: RankReport): Promise<void> {
     const profile = options.profile();
     if (profile === undefined || !mapPlanner.isDue()) return;
-    const current = await activeMap(own);
+    const current = await findActiveMap(ownReport);
     if (current === undefined) return;
-    const overview = options.overview();
+    const overviews = options.overviews();
     const slowdownFactors = Array.from(
-      { length: own.size },
-      (_, rank) => overview.get(rank)?.pace ?? 1,
+      { length: ownReport.size },
+      (_, rank) => overviews.get(rank)?.pace ?? 1,
     );
-    const map = await mapPlanner.plan({ ownReport: own, current, profile, slowdownFactors });
+    const map = await mapPlanner.plan({ ownReport, current, profile, slowdownFactors });
     if (map === undefined) return;
-    const version = nextVersion(fence);
+    const version = nextVersion(fencingNumber);
     maps.set(version, map);
-    rolloutBegan = now();
+    rolloutStartedAt = now();
     state = { ...state, target: { version, map } };
   }
 
   /** Whether all orders were accepted. */
-  async function send(
-    fence: number,
+  async function sendOrders(
+    fencingNumber: number,
     orders: readonly AddressedOrder[],
     base: VersionedMap,
   ): Promise<boolean> {
     const targets = options.targets();
-    const given: AddressedOrder[] = [];
+    const sent: AddressedOrder[] = [];
     const calls: Promise<OrderOutcome>[] = [];
     for (const addressed of orders) {
       const { rank, order } = addressed;
       const target = targets.get(rank);
-      if (target === undefined || !orderPacer.isDue(addressed)) continue;
-      given.push(addressed);
-      calls.push(link.order(target, { fence, order, base }));
+      if (target === undefined || !orderThrottle.tryAcquire(addressed)) continue;
+      sent.push(addressed);
+      calls.push(rankClient.order(target, { fencingNumber, order, base }));
     }
     // Maps take long to send; nothing stands still meanwhile, and sent again they take longer.
-    const isUrgent = given.every(({ order }) => order.kind !== RankOrderKind.Prepare);
+    const isUrgent = sent.every(({ order }) => order.kind !== RankOrderKind.Prepare);
     const outcomes = isUrgent
-      ? await settleMost(calls, OrderOutcome.Unknown)
+      ? await settleWithoutStragglers(calls, OrderOutcome.Unknown)
       : await Promise.all(calls);
     let unanswered = 0;
     let accepted = 0;
-    for (const [index, addressed] of given.entries()) {
+    for (const [index, addressed] of sent.entries()) {
       const outcome = outcomes[index];
       if (outcome === OrderOutcome.Accepted) accepted += 1;
-      if (outcome === OrderOutcome.Fenced) leadership.doubt();
+      if (outcome === OrderOutcome.Fenced) leadership.requireVerification();
       if (outcome !== OrderOutcome.Unknown) continue;
       unanswered += 1;
-      orderPacer.unanswered(addressed);
+      orderThrottle.markUnanswered(addressed);
     }
-    orderLosses.note(given.length, unanswered);
+    orderLosses.record(sent.length, unanswered);
     return accepted === orders.length;
   }
 
-  function noteProgress(plan: RolloutPlan): void {
+  function logPhaseChange(plan: RolloutPlan): void {
     if (plan.phase === lastPhase) return;
     logger.decision({
       kind: 'rollout',
@@ -212,64 +214,65 @@
       facts: {
         version: plan.state.target?.version,
         heldStep: plan.state.heldStep,
-        milliseconds: Math.round(now() - rolloutBegan),
+        milliseconds: Math.round(now() - rolloutStartedAt),
       },
     });
     lastPhase = plan.phase;
-    if (plan.phase === RolloutPhase.Done) orderPacer.forget();
+    if (plan.phase === RolloutPhase.Done) orderThrottle.reset();
   }
 
   /** A version higher than the target's at any rank makes the target unreachable. */
-  function dropOvertaken(reports: readonly (RankReport | undefined)[]): void {
+  function dropSupersededTarget(reports: readonly (RankReport | undefined)[]): void {
     const { target } = state;
     if (target === undefined || state.armsSent) return;
-    const isOvertaken = reports.some(
+    const isSuperseded = reports.some(
       (report) =>
         report !== undefined &&
         Math.max(report.preparedVersion ?? 0, report.activeVersion) > target.version,
     );
-    if (isOvertaken) state = { ...state, target: undefined, heldStep: undefined };
+    if (isSuperseded) state = { ...state, target: undefined, heldStep: undefined };
   }
 
-  function needsLook(own: RankReport): boolean {
-    if (state.target !== undefined || !state.isSettled || own.epoch !== state.epoch) return true;
-    for (const { hasPendingOrder } of options.overview().values()) {
+  function needsRolloutStep(ownReport: RankReport): boolean {
+    if (state.target !== undefined || !state.isSettled || ownReport.epoch !== state.epoch)
+      return true;
+    for (const { hasPendingOrder } of options.overviews().values()) {
       if (hasPendingOrder) return true;
     }
-    return own.heldStep !== undefined || own.armed !== undefined;
+    return ownReport.heldStep !== undefined || ownReport.armed !== undefined;
   }
 
   /** Tells once what keeps this leader from acting. */
-  function noteObstacle(obstacle: string): void {
+  function logObstacle(obstacle: string): void {
     if (obstacle === lastObstacle) return;
     lastObstacle = obstacle;
     if (obstacle !== '') logger.info('leader cannot act', { obstacle });
   }
 
   /** Whether orders were given, whose effect is to be looked for soon. */
-  async function look(fence: number, own: RankReport): Promise<boolean> {
-    const askedAt = now();
-    const askedAtWall = Date.now();
-    const reports = await readReports(own.size);
-    const roundMilliseconds = now() - askedAt;
+  async function advanceRollout(fencingNumber: number, ownReport: RankReport): Promise<boolean> {
+    const requestedAt = now();
+    const requestedAtWallClock = Date.now();
+    const reports = await readReports(ownReport.size);
+    const roundMilliseconds = now() - requestedAt;
     const missing: number[] = [];
     for (const [rank, report] of reports.entries()) if (report === undefined) missing.push(rank);
-    dropOvertaken(reports);
-    const map = await activeMap(own);
-    if (missing.length > 0) noteObstacle(`no report of ranks ${missing.join(', ')}`);
-    else noteObstacle(map === undefined ? 'the map in force is not known' : '');
+    dropSupersededTarget(reports);
+    const map = await findActiveMap(ownReport);
+    if (missing.length > 0) logObstacle(`no report of ranks ${missing.join(', ')}`);
+    else logObstacle(map === undefined ? 'the map in force is not known' : '');
     if (map === undefined) return false;
     // An old clearing version cannot void what was prepared since.
-    const isOutrun = reports.some((report) => (report?.preparedVersion ?? 0) > voidingVersion);
-    if (isOutrun && (state.target === undefined || state.armsSent)) {
-      voidingVersion = nextVersion(fence);
+    const isOutdated = reports.some((report) => (report?.preparedVersion ?? 0) > voidingVersion);
+    if (isOutdated && (state.target === undefined || state.armsSent)) {
+      voidingVersion = nextVersion(fencingNumber);
     }
     const input = {
-      ownRank: own.rank,
-      formerRank: leadership.formerRank(),
-      passMilliseconds: passClock.milliseconds(),
+      ownRank: ownReport.rank,
+      formerRank: leadership.previousLeaderRank(),
+      passMilliseconds: passDuration.averageMilliseconds(),
       roundMilliseconds,
-      orderRounds: orderLosses.rounds(own.size),
+      orderRounds: orderLosses.expectedRounds(ownReport.size),
       voiding: { version: voidingVersion, map },
     };
     let hasOrders = false;
@@ -280,12 +283,18 @@
       const plan: RolloutPlan = planHoldRollout({ ...input, state, reports: current });
       // A process that stood still since it asked may have been replaced: what it would order now
       // could undo its successor's work. Suspended machines show only on the wall clock.
-      const age = Math.max(now() - askedAt, Math.abs(Date.now() - askedAtWall));
-      if (age > STALE_MILLISECONDS) return false;
+      const ageMilliseconds = Math.max(
+        now() - requestedAt,
+        Math.abs(Date.now() - requestedAtWallClock),
+      );
+      if (ageMilliseconds > MAXIMUM_REPORT_AGE_MILLISECONDS) return false;
       hasOrders = plan.orders.length > 0;
       state = plan.state;
-      noteProgress(plan);
-      const isAccepted = await send(fence, plan.orders, { version: own.activeVersion, map });
+      logPhaseChange(plan);
+      const isAccepted = await sendOrders(fencingNumber, plan.orders, {
+        version: ownReport.activeVersion,
+        map,
+      });
       current = isAccepted ? reportsAfter(current, plan.orders) : undefined;
     }
     return hasOrders;
@@ -293,43 +302,45 @@
 
   async function tick(): Promise<number> {
     const at = now();
-    const late = at - lastTickAt;
+    const delayMilliseconds = at - lastTickAt;
     lastTickAt = at;
-    const own = options.own();
-    if (own === undefined) return IDLE_MILLISECONDS;
-    passClock.observe(own.step);
-    if (late > STOOD_STILL_MILLISECONDS) {
-      leadership.doubt();
+    const ownReport = options.ownReport();
+    if (ownReport === undefined) return IDLE_INTERVAL_MILLISECONDS;
+    passDuration.observe(ownReport.step);
+    if (delayMilliseconds > STALL_THRESHOLD_MILLISECONDS) {
+      leadership.requireVerification();
       state = initialRollout(-1);
     }
-    await leadership.tend({
-      group: own.group,
-      rank: own.rank,
-      isHeld: own.heldStep !== undefined,
+    await leadership.claimOrVerify({
+      group: ownReport.group,
+      rank: ownReport.rank,
+      isHeld: ownReport.heldStep !== undefined,
     });
-    const fence = leadership.fence();
-    if (fence === undefined) {
-      ledFence = undefined;
-      return followingPause(own);
+    const fencingNumber = leadership.fencingNumber();
+    if (fencingNumber === undefined) {
+      termFencingNumber = undefined;
+      return followerInterval(ownReport);
     }
-    if (fence !== ledFence) beginLeading(fence);
-    if (!own.isOpen) return IDLE_MILLISECONDS;
+    if (fencingNumber !== termFencingNumber) beginTerm(fencingNumber);
+    if (!ownReport.isOpen) return IDLE_INTERVAL_MILLISECONDS;
     let hasOrders = false;
-    if (needsLook(own)) hasOrders = await look(fence, own);
-    else await considerTarget(fence, own);
-    return hasOrders || state.target !== undefined ? BUSY_MILLISECONDS : IDLE_MILLISECONDS;
+    if (needsRolloutStep(ownReport)) hasOrders = await advanceRollout(fencingNumber, ownReport);
+    else await planTarget(fencingNumber, ownReport);
+    return hasOrders || state.target !== undefined
+      ? ROLLOUT_INTERVAL_MILLISECONDS
+      : IDLE_INTERVAL_MILLISECONDS;
   }
 
   async function loop(): Promise<void> {
-    let pause = IDLE_MILLISECONDS;
+    let pauseMilliseconds = IDLE_INTERVAL_MILLISECONDS;
     try {
-      pause = await tick();
+      pauseMilliseconds = await tick();
     } catch (thrown) {
       logger.warn('leading failed', { reason: String(thrown) });
     }
     // Time spent waiting for answers is no sign of a frozen process.
-    lastTickAt = now() + pause;
-    if (!stopped) timer = setTimeout(() => void loop(), pause);
+    lastTickAt = now() + pauseMilliseconds;
+    if (!stopped) timer = setTimeout(() => void loop(), pauseMilliseconds);
   }
 
   return {
--- a/packages/group-leader/src/leader-rollout.test.ts
+++ b/packages/group-leader/src/leader-rollout.test.ts
@@ -16,7 +16,7 @@
 afterEach(() => leader?.stop());
 
 /** A group of engines that carry out whatever they are told at once. */
-function createEngines(): { reports: RankReport[]; take(rank: number, order: RankOrder): void } {
+function createEngines(): { reports: RankReport[]; execute(rank: number, order: RankOrder): void } {
   const reports = Array.from({ length: RANKS }, (_, rank): RankReport => ({
     group: 'group',
     rank,
@@ -34,7 +34,7 @@
   }));
 
   /** The armed ranks switch with the pass that was held. */
-  function goOn(): void {
+  function switchArmedRanks(): void {
     for (const [rank, report] of reports.entries()) {
       const { armed } = report;
       if (armed === undefined) continue;
@@ -45,7 +45,7 @@
 
   return {
     reports,
-    take(rank, order) {
+    execute(rank, order) {
       const report = reports[rank];
       if (report === undefined) return;
       switch (order.kind) {
@@ -63,7 +63,7 @@
           break;
         case RankOrderKind.Release:
           reports[rank] = { ...report, heldStep: undefined };
-          goOn();
+          switchArmedRanks();
           break;
         default: {
           const unreachable: never = order;
@@ -86,48 +86,48 @@
   // the group pauses for as long as the leader waits for that one answer.
   const engines = createEngines();
   const unanswered = new Set([2]);
-  const arms: number[] = [];
-  let isConsidered = false;
+  const armedRanks: number[] = [];
+  let isPlanned = false;
   leader = createGroupLeader({
     leadership: {
-      fence: () => 5,
-      formerRank: () => undefined,
-      silentHost: () => undefined,
-      accept: () => true,
-      heard: () => undefined,
-      tend: async () => undefined,
-      doubt: () => undefined,
+      fencingNumber: () => 5,
+      previousLeaderRank: () => undefined,
+      unresponsiveLeaderHost: () => undefined,
+      acceptFencingNumber: () => true,
+      onLeaderHeartbeat: () => undefined,
+      claimOrVerify: async () => undefined,
+      requireVerification: () => undefined,
     },
-    link: {
+    rankClient: {
       report: async ({ backendServer }) => engines.reports[Number(backendServer.host.at(-1))],
       map: async () => undefined,
       markUnreachable: () => undefined,
       order({ backendServer }, { order }) {
         const rank = Number(backendServer.host.at(-1));
         if (order.kind === RankOrderKind.Arm) {
-          arms.push(rank);
+          armedRanks.push(rank);
           if (unanswered.delete(rank)) {
             return new Promise(() => {
               // The engine says nothing.
             });
           }
         }
-        engines.take(rank, order);
+        engines.execute(rank, order);
         return Promise.resolve(OrderOutcome.Accepted);
       },
     },
     mapPlanner: {
-      isDue: () => !isConsidered,
+      isDue: () => !isPlanned,
       async plan() {
-        isConsidered = true;
+        isPlanned = true;
         return NEXT_MAP;
       },
     },
     logger: createSilentLogger(),
     now: () => performance.now(),
-    own: () => engines.reports[0],
+    ownReport: () => engines.reports[0],
     targets: () => TARGETS,
-    overview() {
+    overviews() {
       const known = new Map<number, RankOverview>();
       for (const [rank, { pace, heldStep, armed }] of engines.reports.entries()) {
         known.set(rank, { pace, hasPendingOrder: heldStep !== undefined || armed !== undefined });
@@ -141,6 +141,6 @@
     () => expect(engines.reports.map(({ activeVersion }) => activeVersion)).not.toContain(0),
     { timeout: 60_000, interval: 5 },
   );
-  expect(arms.filter((rank) => rank === 2)).toHaveLength(2);
+  expect(armedRanks.filter((rank) => rank === 2)).toHaveLength(2);
   expect(new Set(engines.reports.map(({ activeVersion }) => activeVersion)).size).toBe(1);
 });
--- a/packages/group-leader/src/order-pacer.test.ts
+++ b/packages/group-leader/src/order-throttle.test.ts
@@ -2,7 +2,7 @@
 import type { AddressedOrder } from '@lapisbridge/placement';
 import { expect, it } from 'vitest';
 
-import { createOrderPacer } from './order-pacer.js';
+import { createOrderThrottle } from './order-throttle.js';
 
 const PREPARE: AddressedOrder = {
   rank: 3,
@@ -14,13 +14,13 @@
   // prepared it; half a second for each order that was lost kept the old map for 2.7 and 3.5 s,
   // and every stream was late.
   const clock = { now: 0 };
-  const pacer = createOrderPacer(() => clock.now);
-  expect(pacer.isDue(PREPARE)).toBe(true);
+  const throttle = createOrderThrottle(() => clock.now);
+  expect(throttle.tryAcquire(PREPARE)).toBe(true);
   clock.now = 200;
-  expect(pacer.isDue(PREPARE)).toBe(false);
-  pacer.unanswered(PREPARE);
-  expect(pacer.isDue(PREPARE)).toBe(true);
-  expect(pacer.isDue({ ...PREPARE, rank: 4 })).toBe(true);
+  expect(throttle.tryAcquire(PREPARE)).toBe(false);
+  throttle.markUnanswered(PREPARE);
+  expect(throttle.tryAcquire(PREPARE)).toBe(true);
+  expect(throttle.tryAcquire({ ...PREPARE, rank: 4 })).toBe(true);
   clock.now = 800;
-  expect(pacer.isDue(PREPARE)).toBe(true);
+  expect(throttle.tryAcquire(PREPARE)).toBe(true);
 });
--- a/packages/group-leader/src/order-pacer.ts
+++ b/packages/group-leader/src/order-throttle.ts
@@ -5,16 +5,16 @@
 import { RankOrderKind } from '@lapisbridge/placement';
 import type { AddressedOrder } from '@lapisbridge/placement';
 
-export interface OrderPacer {
+export interface OrderThrottle {
   /** Whether the order may go out now; it then counts as given. */
-  isDue(addressed: AddressedOrder): boolean;
+  tryAcquire(addressed: AddressedOrder): boolean;
   /** The order got no answer: it may be lost, and is due again at once. */
-  unanswered(addressed: AddressedOrder): void;
-  forget(): void;
+  markUnanswered(addressed: AddressedOrder): void;
+  reset(): void;
 }
 
 /** Pauses before the same order goes to the same rank again. */
-const REPEAT_MILLISECONDS: Readonly<Record<RankOrderKind, number>> = {
+const RESEND_INTERVAL_MILLISECONDS: Readonly<Record<RankOrderKind, number>> = {
   // A copy of a few experts takes some hundred milliseconds.
   [RankOrderKind.Prepare]: 500,
   [RankOrderKind.Arm]: 60,
@@ -29,17 +29,17 @@
   return `${rank}/${order.kind}/${order.epoch}/${version}/${step}`;
 }
 
-export function createOrderPacer(now: () => number): OrderPacer {
-  const givenAt = new Map<string, number>();
+export function createOrderThrottle(now: () => number): OrderThrottle {
+  const sentAt = new Map<string, number>();
   return {
-    isDue(addressed) {
+    tryAcquire(addressed) {
       const key = keyOf(addressed);
-      const last = givenAt.get(key) ?? -Infinity;
-      if (now() - last < REPEAT_MILLISECONDS[addressed.order.kind]) return false;
-      givenAt.set(key, now());
+      const last = sentAt.get(key) ?? -Infinity;
+      if (now() - last < RESEND_INTERVAL_MILLISECONDS[addressed.order.kind]) return false;
+      sentAt.set(key, now());
       return true;
     },
-    unanswered: (addressed) => void givenAt.delete(keyOf(addressed)),
-    forget: () => givenAt.clear(),
+    markUnanswered: (addressed) => void sentAt.delete(keyOf(addressed)),
+    reset: () => sentAt.clear(),
   };
 }
--- a/packages/group-leader/src/prepare-forwarding.test.ts
+++ b/packages/group-leader/src/prepare-forwarding.test.ts
@@ -117,7 +117,7 @@
       backendServer: address,
       entry: { host: ENTRY_HOST, port },
     };
-    outcomes.push(client.order(target, { fence: 1, order, base }));
+    outcomes.push(client.order(target, { fencingNumber: 1, order, base }));
   }
   return Promise.all(outcomes);
 }
--- a/packages/group-leader/src/rank-client.ts
+++ b/packages/group-leader/src/rank-client.ts
@@ -50,7 +50,7 @@
 }
 
 export interface LeaderOrder {
-  readonly fence: number;
+  readonly fencingNumber: number;
   readonly order: RankOrder;
   /** The map in force, which the ranks' sidecars are likely to know. */
   readonly base: VersionedMap;
@@ -84,7 +84,7 @@
 }
 
 export interface DecodedPrepare {
-  readonly fence: number;
+  readonly fencingNumber: number;
   readonly order: PrepareOrder;
 }
 
@@ -93,13 +93,13 @@
   body: JsonObject,
   findMap: (version: number) => GroupMap | undefined,
 ): DecodedPrepare | undefined {
-  const fence = numberOf(body, 'fence');
+  const fencingNumber = numberOf(body, 'fence');
   const epoch = numberOf(body, 'epoch');
   const version = numberOf(body, 'version');
-  if (fence === undefined || epoch === undefined || version === undefined) return undefined;
+  if (fencingNumber === undefined || epoch === undefined || version === undefined) return undefined;
   const map = decodeMap(body, findMap);
   if (map === undefined) return undefined;
-  return { fence, order: { kind: RankOrderKind.Prepare, epoch, version, map } };
+  return { fencingNumber, order: { kind: RankOrderKind.Prepare, epoch, version, map } };
 }
 
 /** Written by our own kind; whatever does not unpack is refused. */
@@ -189,18 +189,22 @@
     return direct().catch(() => undefined);
   }
 
-  function packTarget(fence: number, order: PrepareOrder, base: VersionedMap): PackedTarget {
+  function packTarget(
+    fencingNumber: number,
+    order: PrepareOrder,
+    base: VersionedMap,
+  ): PackedTarget {
     const { map, epoch, version } = order;
     const known = cachedTarget?.prepare;
     const isKnown =
       cachedTarget?.target === map &&
       cachedTarget.changes.baseVersion === base.version &&
-      known?.fence === fence &&
+      known?.fence === fencingNumber &&
       known.epoch === epoch &&
       known.version === version;
     if (!isKnown || cachedTarget === undefined) {
       const changes = packMapDelta(base.map, base.version, map);
-      const prepare = { fence, epoch, version, changes };
+      const prepare = { fence: fencingNumber, epoch, version, changes };
       cachedTarget = { target: map, map: packMap(map), changes, prepare };
     }
     return cachedTarget;
@@ -234,20 +238,20 @@
 
   async function relayPrepare(
     target: RankTarget,
-    fence: number,
+    fencingNumber: number,
     order: PrepareOrder,
     base: VersionedMap,
   ): Promise<OrderOutcome> {
     const { epoch, version } = order;
-    const { map, changes, prepare } = packTarget(fence, order, base);
+    const { map, changes, prepare } = packTarget(fencingNumber, order, base);
     const forwarded = await forwardThroughEntry(target, prepare);
     if (forwarded !== undefined) return forwarded;
     const send = (body: PrepareMessage): Promise<{ outcome: OrderOutcome }> =>
       relay(target, 'POST', RelayPath.Prepare, body);
-    const { outcome } = await send({ fence, epoch, version, changes });
+    const { outcome } = await send({ fence: fencingNumber, epoch, version, changes });
     if (outcome !== OrderOutcome.Refused) return outcome;
     // The sidecar does not know the map in force, or the rank refuses any map.
-    return (await send({ fence, epoch, version, map })).outcome;
+    return (await send({ fence: fencingNumber, epoch, version, map })).outcome;
   }
 
   function markUnreachable(host: string): void {
@@ -284,13 +288,13 @@
         () => engine.map(target.backendServer),
       );
     },
-    async order(target, { fence, order, base }) {
+    async order(target, { fencingNumber, order, base }) {
       if (order.kind !== RankOrderKind.Prepare) {
         return engine.order(target.backendServer, order).catch(() => OrderOutcome.Unknown);
       }
       const outcome = await callWithFallback(
         target,
-        () => relayPrepare(target, fence, order, base),
+        () => relayPrepare(target, fencingNumber, order, base),
         () => engine.order(target.backendServer, order),
       );
       return outcome ?? OrderOutcome.Unknown;
--- a/packages/group-leader/src/relay-listener.test.ts
+++ b/packages/group-leader/src/relay-listener.test.ts
@@ -63,7 +63,7 @@
     engine,
     logger: createSilentLogger(),
     initialGroupMap: () => (knowsFirst ? FIRST : undefined),
-    acceptFencingNumber: (fence) => fence >= 5,
+    acceptFencingNumber: (fencingNumber) => fencingNumber >= 5,
     ownFencingNumber: () => undefined,
   });
   await new Promise((resolve) => {
@@ -77,13 +77,13 @@
   });
   const target = { sidecar: { host: HOST, port }, backendServer: { host: HOST, port: 1 } };
   const order = (
-    fence: number,
+    fencingNumber: number,
     version: number,
     map: GroupMap,
     base: { version: number; map: GroupMap },
   ): Promise<OrderOutcome> =>
     client.order(target, {
-      fence,
+      fencingNumber,
       order: { kind: RankOrderKind.Prepare, epoch: 1, version, map },
       base,
     });
--- a/packages/group-leader/src/relay-listener.ts
+++ b/packages/group-leader/src/relay-listener.ts
@@ -22,7 +22,7 @@
   /** The map that the group has after it formed, version 0; undefined where it is not known yet. */
   initialGroupMap(): GroupMap | undefined;
   /** Takes note of a leader's fencing number; false when a higher one is known. */
-  acceptFencingNumber(fence: number): boolean;
+  acceptFencingNumber(fencingNumber: number): boolean;
   /** Fencing number while this sidecar leads. */
   ownFencingNumber(): number | undefined;
 }
@@ -79,8 +79,8 @@
     const prepare = parseObject(body);
     const relayed = prepare === undefined ? undefined : decodePrepare(prepare, findMap);
     if (relayed === undefined) return { outcome: OrderOutcome.Refused };
-    const { fence, order } = relayed;
-    if (!options.acceptFencingNumber(fence)) return { outcome: OrderOutcome.Fenced };
+    const { fencingNumber, order } = relayed;
+    if (!options.acceptFencingNumber(fencingNumber)) return { outcome: OrderOutcome.Fenced };
     remember(order.version, order.map);
     const outcome = await engine.order(backendServer, order).catch(() => OrderOutcome.Unknown);
     logger.decision({
@@ -88,7 +88,7 @@
       subject: `map ${order.version}`,
       choice: order.kind,
       reason: outcome,
-      facts: { fence, epoch: order.epoch },
+      facts: { fence: fencingNumber, epoch: order.epoch },
     });
     return { outcome };
   }
--- a/packages/group-leader/src/settle-most.ts
+++ b/packages/group-leader/src/settle-without-stragglers.ts
@@ -5,17 +5,17 @@
  */
 
 /** Longest wait for the first answer of a batch, and from one answer to the next. */
-const FIRST_ANSWER_MILLISECONDS = 100;
-const NEXT_ANSWER_MILLISECONDS = 30;
+const FIRST_ANSWER_TIMEOUT_MILLISECONDS = 100;
+const NEXT_ANSWER_TIMEOUT_MILLISECONDS = 30;
 
 /** Resolves with an answer for each call, in their order; `missing` stands for those that are late. */
-export function settleMost<Answer>(
+export function settleWithoutStragglers<Answer>(
   calls: readonly Promise<Answer>[],
-  missing: Answer,
+  fallback: Answer,
 ): Promise<readonly Answer[]> {
   return new Promise((resolve, reject) => {
-    const answers = calls.map(() => missing);
-    let waiting = calls.length;
+    const answers = calls.map(() => fallback);
+    let pendingCount = calls.length;
     let timer: NodeJS.Timeout | undefined;
 
     function finish(): void {
@@ -23,31 +23,31 @@
       resolve(answers);
     }
 
-    function waitFor(milliseconds: number): void {
+    function restartTimer(milliseconds: number): void {
       clearTimeout(timer);
-      const before = waiting;
+      const before = pendingCount;
       timer = setTimeout(() => {
         // A process that stood still has answers to read first.
         setImmediate(() => {
-          if (waiting === before) finish();
+          if (pendingCount === before) finish();
         });
       }, milliseconds);
     }
 
-    function take(index: number, answer: Answer): void {
+    function onAnswer(index: number, answer: Answer): void {
       answers[index] = answer;
-      waiting -= 1;
-      if (waiting === 0) finish();
-      else waitFor(NEXT_ANSWER_MILLISECONDS);
+      pendingCount -= 1;
+      if (pendingCount === 0) finish();
+      else restartTimer(NEXT_ANSWER_TIMEOUT_MILLISECONDS);
     }
 
-    if (waiting === 0) {
+    if (pendingCount === 0) {
       finish();
       return;
     }
-    waitFor(FIRST_ANSWER_MILLISECONDS);
+    restartTimer(FIRST_ANSWER_TIMEOUT_MILLISECONDS);
     for (const [index, call] of calls.entries()) {
-      call.then((answer) => take(index, answer), reject);
+      call.then((answer) => onAnswer(index, answer), reject);
     }
   });
 }
--- a/packages/group-sidecar/src/played-group.ts
+++ b/packages/group-sidecar/src/played-group.ts
@@ -281,7 +281,7 @@
       },
       instanceId: host,
       host,
-      ask: (leader) => call(() => queryLeader({ host: leader, port: SIDECAR_PORT })),
+      queryLeader: (leader) => call(() => queryLeader({ host: leader, port: SIDECAR_PORT })),
       logger,
       now,
       random,
@@ -318,8 +318,8 @@
       engine,
       logger,
       initialGroupMap: () => member.firstMap(),
-      acceptFencingNumber: (fence) => leadership.accept(fence),
-      ownFencingNumber: () => leadership.fence(),
+      acceptFencingNumber: (fencingNumber) => leadership.acceptFencingNumber(fencingNumber),
+      ownFencingNumber: () => leadership.fencingNumber(),
     });
     return { leadership, member, relay };
   }
@@ -341,7 +341,7 @@
     leader() {
       const rank = sidecars.findIndex(
         ({ leadership }, at) =>
-          leadership.fence() !== undefined && machines[at]?.stopped === undefined,
+          leadership.fencingNumber() !== undefined && machines[at]?.stopped === undefined,
       );
       return rank === -1 ? undefined : rank;
     },
--- a/packages/group-sidecar/src/rank-member.ts
+++ b/packages/group-sidecar/src/rank-member.ts
@@ -71,7 +71,7 @@
     backendServer,
     logger,
     now,
-    isLeading: () => leadership.fence() !== undefined,
+    isLeading: () => leadership.fencingNumber() !== undefined,
     // Entries send to a lost group, or reject callers of one that is back, until they hear.
     onOpenChanged: () => fleet.reportNow(),
     onGrowth,
@@ -111,12 +111,12 @@
     seedHosts: () => options.settings().seedHosts,
     state,
     pace: () => planReportingIntervals(observer.report()?.size ?? 0),
-    fence: () => leadership.fence(),
+    fence: () => leadership.fencingNumber(),
     isSettled: () => groupLeader.isSettled(),
     onProfiles(profiles) {
       profile = (service === undefined ? undefined : profiles[service]) ?? profile;
     },
-    onLeader: (fence, isSettled) => leadership.heard(fence, isSettled),
+    onLeader: (fencingNumber, isSettled) => leadership.onLeaderHeartbeat(fencingNumber, isSettled),
     onGrowth(growth) {
       if (observer.report()?.isOpen === true) addGrowth(dequantizeCountDelta(growth));
     },
@@ -128,7 +128,7 @@
 
   const groupLeader = createGroupLeader({
     leadership,
-    link: createRankClient({
+    rankClient: createRankClient({
       engine,
       requestReport: (sidecar) => questions.requestReport(sidecar.host),
       now,
@@ -136,9 +136,9 @@
     mapPlanner: createMapPlanner({ demand, recentDemand, logger, now }),
     logger,
     now,
-    own: () => observer.report(),
+    ownReport: () => observer.report(),
     targets,
-    overview: () => fleet.ranks(),
+    overviews: () => fleet.ranks(),
     profile: () => profile,
   });
 
@@ -175,7 +175,8 @@
 
   /** What was chosen since the last look goes to the leader at once: a shift makes streams late. */
   function onGrowth(growth: CountDelta): void {
-    if (leadership.fence() === undefined) fleet.tellGrowth(quantizeCountDelta(growth, random));
+    if (leadership.fencingNumber() === undefined)
+      fleet.tellGrowth(quantizeCountDelta(growth, random));
     else if (observer.report()?.isOpen === true) addGrowth(growth);
   }
 
@@ -192,10 +193,10 @@
   }
 
   function tick(): void {
-    const fence = leadership.fence();
+    const fencingNumber = leadership.fencingNumber();
     // A new leader is told where the ranks are by the entries that hear of it.
-    if (fence !== undefined && fence !== reportedFence) fleet.reportNow();
-    reportedFence = fence;
+    if (fencingNumber !== undefined && fencingNumber !== reportedFence) fleet.reportNow();
+    reportedFence = fencingNumber;
     timer = setTimeout(tick, fleet.tick());
   }
 
--- a/packages/group-sidecar/src/start-sidecar.ts
+++ b/packages/group-sidecar/src/start-sidecar.ts
@@ -60,7 +60,7 @@
     }),
     instanceId,
     host,
-    ask: (leaderHost) => queryLeader({ host: leaderHost, port: peerPort }),
+    queryLeader: (leaderHost) => queryLeader({ host: leaderHost, port: peerPort }),
     logger,
     now: monotonicClock,
     random,
@@ -81,10 +81,10 @@
     engine: adapters.engine,
     logger,
     initialGroupMap: () => member.firstMap(),
-    acceptFencingNumber: (fence) => leadership.accept(fence),
-    ownFencingNumber: () => leadership.fence(),
+    acceptFencingNumber: (fencingNumber) => leadership.acceptFencingNumber(fencingNumber),
+    ownFencingNumber: () => leadership.fencingNumber(),
   });
-  describeMember(metrics, member, () => leadership.fence() !== undefined);
+  describeMember(metrics, member, () => leadership.fencingNumber() !== undefined);
   metrics.datagrams(() => member.sent());
   try {
     await member.start();
