--- a/packages/group-sidecar/src/hold-watch.test.ts
+++ b/packages/group-sidecar/src/hold-watchdog.test.ts
@@ -3,8 +3,8 @@
 import type { GroupMap, RankOrder, RankReport } from '@lapisbridge/placement';
 import { describe, expect, it } from 'vitest';
 
-import { createHoldWatch } from './hold-watch.js';
-import type { HoldWatch } from './hold-watch.js';
+import { createHoldWatchdog } from './hold-watchdog.js';
+import type { HoldWatchdog } from './hold-watchdog.js';
 
 const PROFILE = { sets: 1, experts: 9, placesPerRank: 4, newPerRank: 1 };
 const OWN = [2, 5, 7, 8];
@@ -25,7 +25,7 @@
 };
 
 interface Scene {
-  readonly watch: HoldWatch;
+  readonly watchdog: HoldWatchdog;
   readonly orders: RankOrder[];
   report: RankReport;
   time: number;
@@ -38,7 +38,7 @@
     report: HELD,
     time: 0,
     outcome: OrderOutcome.Accepted,
-    watch: createHoldWatch({
+    watchdog: createHoldWatchdog({
       engine: {
         report: async () => scene.report,
         counts: async () => undefined,
@@ -60,17 +60,17 @@
   return scene;
 }
 
-async function pass(scene: Scene, milliseconds: number): Promise<void> {
+async function advance(scene: Scene, milliseconds: number): Promise<void> {
   scene.time += milliseconds;
-  await scene.watch.onReport(scene.report);
+  await scene.watchdog.onReport(scene.report);
 }
 
 describe('a hold that keeps the group', () => {
   it('is ended with its map void, where nothing is armed', async () => {
     const scene = createScene();
-    await pass(scene, 0);
+    await advance(scene, 0);
     expect(scene.orders).toEqual([]);
-    await pass(scene, 300);
+    await advance(scene, 300);
     const [prepare, release] = scene.orders;
     expect(prepare).toMatchObject({ kind: RankOrderKind.Prepare, epoch: 4, version: 5007 });
     expect(release).toEqual({ kind: RankOrderKind.Release, epoch: 4, step: 105 });
@@ -79,27 +79,27 @@
   it('is not ended while the map cannot be made void', async () => {
     const scene = createScene();
     scene.outcome = OrderOutcome.Refused;
-    await pass(scene, 0);
-    await pass(scene, 300);
-    await pass(scene, 25);
+    await advance(scene, 0);
+    await advance(scene, 300);
+    await advance(scene, 25);
     const kinds = scene.orders.map(({ kind }) => kind);
     expect(kinds).toEqual([RankOrderKind.Prepare, RankOrderKind.Prepare]);
   });
 
   it('is waited at anew when another one follows', async () => {
     const scene = createScene();
-    await pass(scene, 0);
-    await pass(scene, 200);
+    await advance(scene, 0);
+    await advance(scene, 200);
     scene.report = { ...HELD, step: 107, heldStep: 108 };
-    await pass(scene, 200);
-    await pass(scene, 200);
+    await advance(scene, 200);
+    await advance(scene, 200);
     expect(scene.orders).toEqual([]);
   });
 
   it('is voided by a map that the engine takes', async () => {
     const scene = createScene();
-    await pass(scene, 0);
-    await pass(scene, 300);
+    await advance(scene, 0);
+    await advance(scene, 300);
     const [prepare] = scene.orders;
     const map: GroupMap = prepare?.kind === RankOrderKind.Prepare ? prepare.map : { sets: [] };
     const ranks = map.sets[0]?.experts ?? [];
--- a/packages/group-sidecar/src/hold-watch.ts
+++ b/packages/group-sidecar/src/hold-watchdog.ts
@@ -14,7 +14,7 @@
 } from '@lapisbridge/placement';
 import type { RankOrder, RankReport } from '@lapisbridge/placement';
 
-export interface HoldWatchOptions {
+export interface HoldWatchdogOptions {
   readonly engine: RankEngine;
   readonly backendServer: RankAddress;
   readonly logger: Logger;
@@ -22,26 +22,26 @@
   profile(): GroupProfile | undefined;
 }
 
-export interface HoldWatch {
+export interface HoldWatchdog {
   /** Takes a fresh report of the rank, and settles when the orders it led to are answered. */
   onReport(report: RankReport): Promise<void>;
 }
 
-export function createHoldWatch(options: HoldWatchOptions): HoldWatch {
+export function createHoldWatchdog(options: HoldWatchdogOptions): HoldWatchdog {
   const { engine, backendServer, logger, now } = options;
-  let waitingAt = '';
-  let waitingSince = 0;
+  let currentHold = '';
+  let heldSince = 0;
 
-  function waitedMilliseconds(report: RankReport): number {
+  function heldMilliseconds(report: RankReport): number {
     const hold = isAtHold(report) ? `${report.epoch}/${report.heldStep}` : '';
-    if (hold !== waitingAt) {
-      waitingAt = hold;
-      waitingSince = now();
+    if (hold !== currentHold) {
+      currentHold = hold;
+      heldSince = now();
     }
-    return now() - waitingSince;
+    return now() - heldSince;
   }
 
-  async function give(report: RankReport, order: RankOrder): Promise<OrderOutcome> {
+  async function sendOrder(report: RankReport, order: RankOrder): Promise<OrderOutcome> {
     const outcome = await engine.order(backendServer, order).catch(() => OrderOutcome.Unknown);
     logger.decision({
       kind: 'hold end',
@@ -51,37 +51,37 @@
       facts: {
         heldStep: report.heldStep,
         preparedVersion: report.preparedVersion,
-        milliseconds: Math.round(now() - waitingSince),
+        milliseconds: Math.round(now() - heldSince),
       },
     });
     return outcome;
   }
 
   /** Replaces the prepared map by the one in force, so that the rank cannot be armed any more. */
-  async function makeVoid(report: RankReport, version: number): Promise<OrderOutcome> {
+  async function replacePreparedMap(report: RankReport, version: number): Promise<OrderOutcome> {
     const { epoch, rank, size } = report;
     const profile = options.profile();
     const own = await engine.map(backendServer);
     if (profile === undefined || own === undefined) return OrderOutcome.Unknown;
     const map = createPlaceholderMap(own, rank, size, profile);
-    return give(report, { kind: RankOrderKind.Prepare, epoch, version, map });
+    return sendOrder(report, { kind: RankOrderKind.Prepare, epoch, version, map });
   }
 
   async function onReport(report: RankReport): Promise<void> {
     const { epoch } = report;
-    const end = planHoldEnd(report, waitedMilliseconds(report));
+    const end = planHoldEnd(report, heldMilliseconds(report));
     switch (end.kind) {
       case HoldEndKind.Keep:
         return;
       case HoldEndKind.Void: {
-        const outcome = await makeVoid(report, end.version);
+        const outcome = await replacePreparedMap(report, end.version);
         if (outcome !== OrderOutcome.Accepted) return;
         const voided = await engine.report(backendServer);
         if (voided !== undefined && voided.preparedVersion === end.version) await onReport(voided);
         return;
       }
       case HoldEndKind.Release:
-        await give(report, { kind: RankOrderKind.Release, epoch, step: end.step });
+        await sendOrder(report, { kind: RankOrderKind.Release, epoch, step: end.step });
         return;
       default: {
         const unreachable: never = end;
--- a/packages/group-sidecar/src/rank-member.ts
+++ b/packages/group-sidecar/src/rank-member.ts
@@ -27,7 +27,7 @@
 import type { GroupMap, RankReport } from '@lapisbridge/placement';
 import type { ProcessSettings } from '@lapisbridge/process-life';
 
-import { createHoldWatch } from './hold-watch.js';
+import { createHoldWatchdog } from './hold-watchdog.js';
 import { createRankObserver } from './rank-observer.js';
 
 export interface RankMemberOptions {
@@ -45,25 +45,25 @@
   /** Last report of the rank; undefined while its backend server does not answer. */
   report(): RankReport | undefined;
   /** The map of a group that has just formed; undefined until its engines' limits are known. */
-  firstMap(): GroupMap | undefined;
+  initialGroupMap(): GroupMap | undefined;
   /** Datagrams sent, by kind. */
-  sent(): ReadonlyMap<string, SentCount>;
+  sentDatagrams(): ReadonlyMap<string, SentCount>;
   start(): Promise<void>;
   stop(): void;
 }
 
 /** Windows of the demand for experts: what maps are planned for, and what shows a shift. */
-const DEMAND_MILLISECONDS = 900;
-const RECENT_DEMAND_MILLISECONDS = 250;
+const DEMAND_WINDOW_MILLISECONDS = 900;
+const RECENT_DEMAND_WINDOW_MILLISECONDS = 250;
 
 export function createRankMember(options: RankMemberOptions): RankMember {
   const { backendServer, engine, leadership, logger, now, random } = options;
   const { instanceId, host, availabilityZone, peerPort, service } = options.settings();
   const self = { instanceId, host, role: InstanceRole.Sidecar, availabilityZone };
-  const demand = createDemandWindow(DEMAND_MILLISECONDS, now);
-  const recentDemand = createDemandWindow(RECENT_DEMAND_MILLISECONDS, now);
+  const demand = createDemandWindow(DEMAND_WINDOW_MILLISECONDS, now);
+  const recentDemand = createDemandWindow(RECENT_DEMAND_WINDOW_MILLISECONDS, now);
   let profile: GroupProfile | undefined;
-  let reportedFence: number | undefined;
+  let reportedFencingNumber: number | undefined;
   let timer: NodeJS.Timeout | undefined;
 
   const observer = createRankObserver({
@@ -74,11 +74,11 @@
     isLeading: () => leadership.fencingNumber() !== undefined,
     // Entries send to a lost group, or reject callers of one that is back, until they hear.
     onOpenChanged: () => fleet.reportNow(),
-    onGrowth,
-    onReport: (report) => holdWatch.onReport(report),
+    onCountDelta,
+    onReport: (report) => holdWatchdog.onReport(report),
   });
 
-  const holdWatch = createHoldWatch({
+  const holdWatchdog = createHoldWatchdog({
     engine,
     backendServer,
     logger,
@@ -86,14 +86,14 @@
     profile: () => profile,
   });
 
-  const link = createDatagramLink({
+  const datagramLink = createDatagramLink({
     self,
     port: peerPort,
     logger,
     now,
     onMessage: (from, message) => fleet.receive(from, message),
   });
-  const questions = createReportRequests({
+  const reportRequests = createReportRequests({
     ownHost: host,
     async ownReport() {
       await observer.refresh();
@@ -118,11 +118,11 @@
     },
     onLeader: (fencingNumber, isSettled) => leadership.onLeaderHeartbeat(fencingNumber, isSettled),
     onGrowth(growth) {
-      if (observer.report()?.isOpen === true) addGrowth(dequantizeCountDelta(growth));
+      if (observer.report()?.isOpen === true) addCountDelta(dequantizeCountDelta(growth));
     },
-    onQuestion: (from, question) => void answer(from.host, question),
-    onAnswer: (question, report) => questions.onAnswer(question, report),
-    send: (to, message) => link.send(to, message),
+    onQuestion: (from, question) => void answerReportQuestion(from.host, question),
+    onAnswer: (question, report) => reportRequests.onAnswer(question, report),
+    send: (to, message) => datagramLink.send(to, message),
     now,
   });
 
@@ -130,7 +130,7 @@
     leadership,
     rankClient: createRankClient({
       engine,
-      requestReport: (sidecar) => questions.requestReport(sidecar.host),
+      requestReport: (sidecar) => reportRequests.requestReport(sidecar.host),
       now,
     }),
     mapPlanner: createMapPlanner({ demand, recentDemand, logger, now }),
@@ -168,20 +168,20 @@
     return known;
   }
 
-  function addGrowth(growth: CountDelta): void {
-    demand.add(growth);
-    recentDemand.add(growth);
+  function addCountDelta(delta: CountDelta): void {
+    demand.add(delta);
+    recentDemand.add(delta);
   }
 
   /** What was chosen since the last look goes to the leader at once: a shift makes streams late. */
-  function onGrowth(growth: CountDelta): void {
+  function onCountDelta(delta: CountDelta): void {
     if (leadership.fencingNumber() === undefined)
-      fleet.tellGrowth(quantizeCountDelta(growth, random));
-    else if (observer.report()?.isOpen === true) addGrowth(growth);
+      fleet.tellGrowth(quantizeCountDelta(delta, random));
+    else if (observer.report()?.isOpen === true) addCountDelta(delta);
   }
 
   /** Reads a fresh report for the leader that asks. */
-  async function answer(to: string, question: number): Promise<void> {
+  async function answerReportQuestion(to: string, question: number): Promise<void> {
     try {
       await observer.refresh();
       const report = observer.report();
@@ -195,22 +195,22 @@
   function tick(): void {
     const fencingNumber = leadership.fencingNumber();
     // A new leader is told where the ranks are by the entries that hear of it.
-    if (fencingNumber !== undefined && fencingNumber !== reportedFence) fleet.reportNow();
-    reportedFence = fencingNumber;
+    if (fencingNumber !== undefined && fencingNumber !== reportedFencingNumber) fleet.reportNow();
+    reportedFencingNumber = fencingNumber;
     timer = setTimeout(tick, fleet.tick());
   }
 
   return {
     report: () => observer.report(),
-    firstMap() {
+    initialGroupMap() {
       const report = observer.report();
       return profile === undefined || report === undefined
         ? undefined
         : initialGroupMap(profile, report.size);
     },
-    sent: () => link.sent(),
+    sentDatagrams: () => datagramLink.sent(),
     async start() {
-      await link.start();
+      await datagramLink.start();
       observer.start();
       groupLeader.start();
       tick();
@@ -218,7 +218,7 @@
     stop() {
       groupLeader.stop();
       clearTimeout(timer);
-      link.stop();
+      datagramLink.stop();
     },
   };
 }
--- a/packages/group-sidecar/src/rank-observer.ts
+++ b/packages/group-sidecar/src/rank-observer.ts
@@ -16,7 +16,7 @@
   isLeading(): boolean;
   /** The group was lost or is back, as this rank sees it. */
   onOpenChanged(): void;
-  onGrowth(growth: CountDelta): void;
+  onCountDelta(growth: CountDelta): void;
   /** A report was read when it was due. */
   onReport(report: RankReport): Promise<void>;
 }
@@ -30,62 +30,66 @@
 }
 
 /** Between two reads while the backend server does not answer, or while this sidecar leads. */
-const CLOSE_MILLISECONDS = 100;
+const FAST_POLL_MILLISECONDS = 100;
 /** The same while a hold stands here, which must not keep the group for long. */
-const HELD_MILLISECONDS = 25;
+const HELD_POLL_MILLISECONDS = 25;
 
 export function createRankObserver(options: RankObserverOptions): RankObserver {
   const { engine, backendServer, logger, now } = options;
-  const meter = createCountDeltaTracker();
-  let own: RankReport | undefined;
+  const deltaTracker = createCountDeltaTracker();
+  let lastReport: RankReport | undefined;
   let countedAt = -Infinity;
   /** Pass of the last counts: without a pass nothing was chosen. */
   let countedStep = -1;
 
   async function refresh(): Promise<void> {
     const report = await engine.report(backendServer);
-    const hasChanged = report?.isOpen !== own?.isOpen;
-    own = report;
+    const hasChanged = report?.isOpen !== lastReport?.isOpen;
+    lastReport = report;
     if (hasChanged) options.onOpenChanged();
   }
 
-  async function count(): Promise<void> {
-    if (own === undefined) return;
-    const { countsMilliseconds, reportMilliseconds } = planReportingIntervals(own.size);
+  async function readCounts(): Promise<void> {
+    if (lastReport === undefined) return;
+    const { countsMilliseconds, reportMilliseconds } = planReportingIntervals(lastReport.size);
     // Counts are read right after a report, so without slack each pause would grow by one of these.
-    if (now() - countedAt < countsMilliseconds - reportMilliseconds / 2 || own.step === countedStep)
+    if (
+      now() - countedAt < countsMilliseconds - reportMilliseconds / 2 ||
+      lastReport.step === countedStep
+    )
       return;
-    const { step } = own;
+    const { step } = lastReport;
     const counts = await engine.counts(backendServer);
     countedAt = now();
     countedStep = step;
-    const delta = counts === undefined ? undefined : meter.update(counts);
-    if (delta !== undefined) options.onGrowth(delta);
+    const delta = counts === undefined ? undefined : deltaTracker.update(counts);
+    if (delta !== undefined) options.onCountDelta(delta);
   }
 
-  function pauseAfter(before: RankReport | undefined): number {
-    if (own?.heldStep !== undefined) return HELD_MILLISECONDS;
-    if (own === undefined || options.isLeading()) return CLOSE_MILLISECONDS;
-    const { reportMilliseconds, idleReportMilliseconds } = planReportingIntervals(own.size);
-    const isIdle = own.running + own.waiting === 0 && own.step === before?.step;
+  function nextPollDelay(before: RankReport | undefined): number {
+    if (lastReport?.heldStep !== undefined) return HELD_POLL_MILLISECONDS;
+    if (lastReport === undefined || options.isLeading()) return FAST_POLL_MILLISECONDS;
+    const { reportMilliseconds, idleReportMilliseconds } = planReportingIntervals(lastReport.size);
+    const isIdle =
+      lastReport.running + lastReport.waiting === 0 && lastReport.step === before?.step;
     return isIdle ? idleReportMilliseconds : reportMilliseconds;
   }
 
   async function observe(): Promise<void> {
-    const before = own;
+    const before = lastReport;
     try {
       await refresh();
-      if (own !== undefined) await options.onReport(own);
-      await count();
+      if (lastReport !== undefined) await options.onReport(lastReport);
+      await readCounts();
     } catch (thrown) {
-      if (own !== undefined) logger.info('backend server lost', { reason: String(thrown) });
-      own = undefined;
+      if (lastReport !== undefined) logger.info('backend server lost', { reason: String(thrown) });
+      lastReport = undefined;
     }
-    setTimeout(() => void observe(), pauseAfter(before));
+    setTimeout(() => void observe(), nextPollDelay(before));
   }
 
   return {
-    report: () => own,
+    report: () => lastReport,
     refresh,
     start: () => void observe(),
   };
--- a/packages/group-sidecar/src/played-engines.ts
+++ b/packages/group-sidecar/src/simulated-engines.ts
@@ -6,7 +6,7 @@
 import { OrderOutcome, RankOrderKind } from '@lapisbridge/placement';
 import type { ArmedMap, GroupMap, RankOrder, RankReport } from '@lapisbridge/placement';
 
-export interface PlayedEngines {
+export interface SimulatedEngines {
   report(rank: number): RankReport;
   /** Experts that a rank holds, set after set. */
   experts(rank: number): readonly (readonly number[])[];
@@ -15,12 +15,12 @@
   start(): void;
   stop(): void;
   /** Longest time from the begin of a pass to that of the next, in milliseconds, since a time. */
-  longestPause(since: number): number;
+  longestPauseMilliseconds(since: number): number;
   /** Versions that differed as a pass began; undefined while there were none. */
-  mixed(): readonly number[] | undefined;
+  mixedVersions(): readonly number[] | undefined;
 }
 
-interface PlayedRank {
+interface SimulatedRank {
   active: { readonly version: number; readonly map: GroupMap };
   prepared: { readonly version: number; readonly map: GroupMap; readonly at: number } | undefined;
   armed: ArmedMap | undefined;
@@ -34,22 +34,26 @@
 /** Time to load experts that are new to a rank. */
 const LOAD_MILLISECONDS = 150;
 
-export function playEngines(ranks: number, first: GroupMap, now: () => number): PlayedEngines {
-  const played = Array.from({ length: ranks }, (): PlayedRank => ({
+export function createSimulatedEngines(
+  ranks: number,
+  first: GroupMap,
+  now: () => number,
+): SimulatedEngines {
+  const simulatedRanks = Array.from({ length: ranks }, (): SimulatedRank => ({
     active: { version: 0, map: first },
     prepared: undefined,
     armed: undefined,
     heldStep: undefined,
     highestVersion: 0,
   }));
-  const passBegins: number[] = [];
+  const passStarts: number[] = [];
   let step = 0;
   let passEndsAt = 0;
-  let mixed: readonly number[] | undefined;
+  let mixedVersions: readonly number[] | undefined;
   let timer: NodeJS.Timeout | undefined;
 
-  function rankAt(rank: number): PlayedRank {
-    const found = played[rank];
+  function rankAt(rank: number): SimulatedRank {
+    const found = simulatedRanks[rank];
     if (found === undefined) throw new RangeError(`the group has ${ranks} ranks, not ${rank + 1}`);
     return found;
   }
@@ -57,17 +61,17 @@
   function beginPass(): void {
     if (now() < passEndsAt) return;
     const next = step + 1;
-    if (played.some(({ heldStep }) => heldStep === next)) return;
+    if (simulatedRanks.some(({ heldStep }) => heldStep === next)) return;
     step = next;
-    for (const rank of played) {
+    for (const rank of simulatedRanks) {
       if (rank.armed?.step !== step || rank.prepared === undefined) continue;
       rank.active = rank.prepared;
       rank.armed = undefined;
       rank.prepared = undefined;
     }
-    const versions = played.map(({ active }) => active.version);
-    if (new Set(versions).size > 1) mixed ??= versions;
-    passBegins.push(now());
+    const versions = simulatedRanks.map(({ active }) => active.version);
+    if (new Set(versions).size > 1) mixedVersions ??= versions;
+    passStarts.push(now());
     passEndsAt = now() + PASS_MILLISECONDS;
     timer = setTimeout(beginPass, PASS_MILLISECONDS);
   }
@@ -80,7 +84,7 @@
     });
   }
 
-  function isTaken(rank: number, order: RankOrder): boolean {
+  function accepts(rank: number, order: RankOrder): boolean {
     const engine = rankAt(rank);
     if (order.epoch !== EPOCH) return false;
     switch (order.kind) {
@@ -138,19 +142,19 @@
       };
     },
     experts: (rank) => rankAt(rank).active.map.sets.map(({ experts }) => experts[rank] ?? []),
-    order: (rank, order) => (isTaken(rank, order) ? OrderOutcome.Accepted : OrderOutcome.Refused),
+    order: (rank, order) => (accepts(rank, order) ? OrderOutcome.Accepted : OrderOutcome.Refused),
     start: beginPass,
     stop: () => clearTimeout(timer),
-    longestPause(since) {
+    longestPauseMilliseconds(since) {
       let longest = 0;
       let last = since;
-      for (const at of [...passBegins, now()]) {
+      for (const at of [...passStarts, now()]) {
         if (at < since) continue;
         longest = Math.max(longest, at - last);
         last = at;
       }
       return longest;
     },
-    mixed: () => mixed,
+    mixedVersions: () => mixedVersions,
   };
 }
--- a/packages/group-sidecar/src/played-group.ts
+++ b/packages/group-sidecar/src/simulated-group.ts
@@ -32,39 +32,39 @@
 import { OrderOutcome } from '@lapisbridge/placement';
 import type { GroupMap, RankOrder } from '@lapisbridge/placement';
 
-import { playEngines } from './played-engines.js';
-import type { PlayedEngines } from './played-engines.js';
+import { createSimulatedEngines } from './simulated-engines.js';
+import type { SimulatedEngines } from './simulated-engines.js';
 import { createRankMember } from './rank-member.js';
 import type { RankMember } from './rank-member.js';
 
-export interface PlayedGroupOptions {
+export interface SimulatedGroupOptions {
   readonly seed: number;
   readonly ranks: number;
   /** An engine has carried out an order. */
   onOrder?(rank: number, order: RankOrder): void;
 }
 
-export interface PlayedGroup {
-  readonly engines: PlayedEngines;
+export interface SimulatedGroup {
+  readonly engines: SimulatedEngines;
   start(): Promise<void>;
   end(): void;
   /** Rank whose sidecar leads and is not stopped. */
   leader(): number | undefined;
   /** Lets the demand ask the leader for another map. */
-  wantMap(): void;
+  requestMap(): void;
   /** Stops a rank's machine: its sidecar and its engine. */
   stop(rank: number): void;
   resume(rank: number): void;
   /** What the sidecars' parts reach the network by; a test puts them in place of the real ones. */
-  readonly network: PlayedNetwork;
+  readonly network: SimulatedNetwork;
 }
 
-export interface PlayedNetwork {
+export interface SimulatedNetwork {
   call(call: JsonCall): Promise<JsonAnswer>;
   createDatagramLink(options: DatagramLinkOptions): DatagramLink;
-  createDemandWatch(): MapPlanner;
+  createMapPlanner(): MapPlanner;
   /** The calls of a leader wait while its machine stands still. */
-  wrapLink(engine: RankEngine, link: RankClient): RankClient;
+  wrapRankClient(engine: RankEngine, link: RankClient): RankClient;
 }
 
 const SERVICE = 'model';
@@ -82,7 +82,7 @@
   stopped: { readonly isOver: Promise<void>; end(): void } | undefined;
 }
 
-interface PlayedSidecar {
+interface SimulatedSidecar {
   readonly leadership: Leadership;
   readonly member: RankMember;
   readonly relay: RankRelay;
@@ -94,7 +94,7 @@
   });
 }
 
-function within<T>(milliseconds: number, call: Promise<T>): Promise<T> {
+function withTimeout<T>(milliseconds: number, call: Promise<T>): Promise<T> {
   return new Promise((resolve, reject) => {
     const timer = setTimeout(() => reject(new Error('no answer in time')), milliseconds);
     call.then(resolve, reject).finally(() => clearTimeout(timer));
@@ -105,7 +105,7 @@
 const rankOf = (host: string): number => Number(host.slice(hostOf(0).length - 1));
 
 /** Rows under a condition. */
-function playStore(): Store {
+function createSimulatedStore(): Store {
   const rows = new Map<string, StoreRow>();
   let revision = 1;
   return {
@@ -128,19 +128,19 @@
   };
 }
 
-export function playGroup(options: PlayedGroupOptions): PlayedGroup {
+export function createSimulatedGroup(options: SimulatedGroupOptions): SimulatedGroup {
   const { ranks } = options;
   const now = monotonicClock;
   const random = createRandom(options.seed);
-  const first = initialGroupMap(PROFILE, ranks);
-  const engines = playEngines(ranks, first, now);
+  const initialMap = initialGroupMap(PROFILE, ranks);
+  const engines = createSimulatedEngines(ranks, initialMap, now);
   const machines = Array.from({ length: ranks }, (): Machine => ({ stopped: undefined }));
-  const sidecars: PlayedSidecar[] = [];
+  const sidecars: SimulatedSidecar[] = [];
   const rankOfEngine = new Map<RankEngine, number>();
   const receivers = new Map<string, (from: InstanceName, message: FleetMessage) => void>();
   const timers = new Set<NodeJS.Timeout>();
-  const store = playStore();
-  let wanted: GroupMap | undefined;
+  const store = createSimulatedStore();
+  let requestedMap: GroupMap | undefined;
   let variant = 0;
 
   async function untilRunning(host: string): Promise<void> {
@@ -149,7 +149,7 @@
   }
 
   /** From one machine to the other and back, with what happens there in between. */
-  async function reach<T>(from: string, to: string, act: () => T | Promise<T>): Promise<T> {
+  async function callAcross<T>(from: string, to: string, act: () => T | Promise<T>): Promise<T> {
     await untilRunning(from);
     if (from !== to) await sleep(HOP_MILLISECONDS);
     await untilRunning(to);
@@ -159,7 +159,7 @@
     return answer;
   }
 
-  function carryOut(rank: number, order: RankOrder): OrderOutcome {
+  function executeOrder(rank: number, order: RankOrder): OrderOutcome {
     const outcome = engines.order(rank, order);
     if (outcome === OrderOutcome.Accepted) options.onOrder?.(rank, order);
     return outcome;
@@ -168,9 +168,9 @@
   function engineOf(caller: number): RankEngine {
     const from = hostOf(caller);
     const ask = <T>(host: string, act: (rank: number) => T): Promise<T> =>
-      within(
+      withTimeout(
         ENGINE_TIMEOUT_MILLISECONDS,
-        reach(from, host, () => act(rankOf(host))),
+        callAcross(from, host, () => act(rankOf(host))),
       );
     return {
       report: ({ host }) => ask(host, engines.report),
@@ -180,16 +180,16 @@
           version: engines.report(rank).activeVersion,
           experts: engines.experts(rank),
         })),
-      order: ({ host }, order) => ask(host, (rank) => carryOut(rank, order)),
+      order: ({ host }, order) => ask(host, (rank) => executeOrder(rank, order)),
     };
   }
 
-  const network: PlayedNetwork = {
+  const network: SimulatedNetwork = {
     async call({ host, path, body, timeoutMilliseconds }) {
-      const answered = reach(ENTRY_HOST, host, () =>
+      const answered = callAcross(ENTRY_HOST, host, () =>
         sidecars[rankOf(host)]?.relay.handle(path, Buffer.from(JSON.stringify(body ?? {}))),
       );
-      const answer = await within(timeoutMilliseconds, answered);
+      const answer = await withTimeout(timeoutMilliseconds, answered);
       return { status: answer === undefined ? 404 : 200, body: (answer ?? {}) as JsonObject };
     },
     createDatagramLink({ self, onMessage }) {
@@ -201,15 +201,15 @@
         sent: () => new Map(),
       };
     },
-    createDemandWatch: () => ({
-      isDue: () => wanted !== undefined,
+    createMapPlanner: () => ({
+      isDue: () => requestedMap !== undefined,
       async plan() {
-        const map = wanted;
-        wanted = undefined;
+        const map = requestedMap;
+        requestedMap = undefined;
         return map;
       },
     }),
-    wrapLink(engine, link) {
+    wrapRankClient(engine, link) {
       const host = hostOf(rankOfEngine.get(engine) ?? 0);
       const paused = async <T>(call: () => Promise<T>): Promise<T> => {
         await untilRunning(host);
@@ -227,7 +227,7 @@
   };
 
   function send(from: InstanceName, host: string, message: FleetMessage): void {
-    void reach(from.host, host, () => receivers.get(host)?.(from, message));
+    void callAcross(from.host, host, () => receivers.get(host)?.(from, message));
   }
 
   function repeat(act: () => number): void {
@@ -266,13 +266,13 @@
     repeat(() => fleet.tick());
   }
 
-  function createSidecar(rank: number): PlayedSidecar {
+  function createSidecar(rank: number): SimulatedSidecar {
     const host = hostOf(rank);
     const backendServer = { host, port: ENGINE_PORT };
     const logger = createSilentLogger();
     const engine = engineOf(rank);
     rankOfEngine.set(engine, rank);
-    const call = <T>(act: () => Promise<T>): Promise<T> => reach(host, host, act);
+    const call = <T>(act: () => Promise<T>): Promise<T> => callAcross(host, host, act);
     const leadership = createLeadership({
       store: {
         list: (table, part) => call(() => store.list(table, part)),
@@ -317,7 +317,7 @@
       backendServer,
       engine,
       logger,
-      initialGroupMap: () => member.firstMap(),
+      initialGroupMap: () => member.initialGroupMap(),
       acceptFencingNumber: (fencingNumber) => leadership.acceptFencingNumber(fencingNumber),
       ownFencingNumber: () => leadership.fencingNumber(),
     });
@@ -345,14 +345,14 @@
       );
       return rank === -1 ? undefined : rank;
     },
-    wantMap() {
+    requestMap() {
       variant += 1;
       // Neither of the two experts that the rank has in the first map.
       const offset = 1 + (variant % (ranks - 1));
-      const sets = first.sets.map(({ experts }) => ({
+      const sets = initialMap.sets.map(({ experts }) => ({
         experts: experts.map((held, rank) => [...held, (rank + offset) % PROFILE.experts]),
       }));
-      wanted = { sets };
+      requestedMap = { sets };
     },
     stop(rank) {
       let end = (): void => undefined;
--- a/packages/group-sidecar/src/start-sidecar.ts
+++ b/packages/group-sidecar/src/start-sidecar.ts
@@ -19,9 +19,9 @@
   createStore(options: RankAddress & { readonly timeoutMilliseconds: number }): Store;
 }
 
-const STORE_MILLISECONDS = 700;
+const STORE_TIMEOUT_MILLISECONDS = 700;
 
-function describeMember(metrics: Metrics, member: RankMember, leads: () => boolean): void {
+function registerMetrics(metrics: Metrics, member: RankMember, isLeading: () => boolean): void {
   metrics.gauge(
     'lapisbridge_group_epoch',
     'Epoch of the group; rises as it forms anew.',
@@ -33,7 +33,7 @@
     () => member.report()?.activeVersion ?? -1,
   );
   metrics.gauge('lapisbridge_leading', '1 while this sidecar leads its group.', () =>
-    leads() ? 1 : 0,
+    isLeading() ? 1 : 0,
   );
 }
 
@@ -56,7 +56,7 @@
   const leadership = createLeadership({
     store: adapters.createStore({
       ...settings.storeAddress,
-      timeoutMilliseconds: STORE_MILLISECONDS,
+      timeoutMilliseconds: STORE_TIMEOUT_MILLISECONDS,
     }),
     instanceId,
     host,
@@ -80,12 +80,12 @@
     backendServer: backendServerAddress,
     engine: adapters.engine,
     logger,
-    initialGroupMap: () => member.firstMap(),
+    initialGroupMap: () => member.initialGroupMap(),
     acceptFencingNumber: (fencingNumber) => leadership.acceptFencingNumber(fencingNumber),
     ownFencingNumber: () => leadership.fencingNumber(),
   });
-  describeMember(metrics, member, () => leadership.fencingNumber() !== undefined);
-  metrics.datagrams(() => member.sent());
+  registerMetrics(metrics, member, () => leadership.fencingNumber() !== undefined);
+  metrics.datagrams(() => member.sentDatagrams());
   try {
     await member.start();
   } catch (thrown) {
--- a/packages/group-sidecar/src/stopped-leader.test.ts
+++ b/packages/group-sidecar/src/stopped-leader.test.ts
@@ -2,33 +2,33 @@
 import type { RankOrder } from '@lapisbridge/placement';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 
-import { playGroup } from './played-group.js';
-import type { PlayedGroup, PlayedNetwork } from './played-group.js';
+import { createSimulatedGroup } from './simulated-group.js';
+import type { SimulatedGroup, SimulatedNetwork } from './simulated-group.js';
 
-const { network } = vi.hoisted((): { network: { current: PlayedNetwork | undefined } } => ({
+const { network } = vi.hoisted((): { network: { current: SimulatedNetwork | undefined } } => ({
   network: { current: undefined },
 }));
 
-function played(): PlayedNetwork {
-  if (network.current === undefined) throw new Error('no group is played');
+function currentNetwork(): SimulatedNetwork {
+  if (network.current === undefined) throw new Error('no group is simulated');
   return network.current;
 }
 
 vi.mock(import('@lapisbridge/json-call'), async (importOriginal) => ({
   ...(await importOriginal()),
-  callJson: (call) => played().call(call),
+  callJson: (call) => currentNetwork().call(call),
 }));
 vi.mock(import('@lapisbridge/fleet'), async (importOriginal) => ({
   ...(await importOriginal()),
-  createDatagramLink: (options) => played().createDatagramLink(options),
+  createDatagramLink: (options) => currentNetwork().createDatagramLink(options),
 }));
 vi.mock(import('@lapisbridge/group-leader'), async (importOriginal) => {
   const original = await importOriginal();
   return {
     ...original,
-    createMapPlanner: () => played().createDemandWatch(),
+    createMapPlanner: () => currentNetwork().createMapPlanner(),
     createRankClient: (options) =>
-      played().wrapLink(options.engine, original.createRankClient(options)),
+      currentNetwork().wrapRankClient(options.engine, original.createRankClient(options)),
   };
 });
 
@@ -38,7 +38,7 @@
 /** Callers leave a stream after 2 s without an event, and a moved one has to be read anew. */
 const LONGEST_PAUSE_MILLISECONDS = 600;
 
-let group: PlayedGroup | undefined;
+let group: SimulatedGroup | undefined;
 
 beforeEach(() => {
   vi.useFakeTimers();
@@ -65,7 +65,7 @@
   /** The same once it goes on. */
   readonly laterPauseMilliseconds: number;
   /** Versions that differed as a pass began. */
-  readonly mixed: readonly number[] | undefined;
+  readonly mixedVersions: readonly number[] | undefined;
   /** Maps in force when the machine has gone on and another map was wanted. */
   readonly versions: ReadonlySet<number>;
 }
@@ -91,31 +91,31 @@
     else setTimeout(() => group?.stop(stopped), delayMilliseconds);
   }
 
-  group = playGroup({ seed: 1, ranks: RANKS, onOrder });
+  group = createSimulatedGroup({ seed: 1, ranks: RANKS, onOrder });
   network.current = group.network;
   const { engines } = group;
   await group.start();
   await vi.advanceTimersByTimeAsync(settleMilliseconds);
   leader = group.leader();
   expect(leader).toBeDefined();
-  group.wantMap();
+  group.requestMap();
   await vi.advanceTimersByTimeAsync(1500);
   expect(stoppedAt).toBeDefined();
   await vi.advanceTimersByTimeAsync(STOP_MILLISECONDS);
-  const pauseMilliseconds = engines.longestPause(stoppedAt ?? 0);
+  const pauseMilliseconds = engines.longestPauseMilliseconds(stoppedAt ?? 0);
   group.resume(leader ?? 0);
   await vi.advanceTimersByTimeAsync(100);
   const resumedAt = performance.now();
   await vi.advanceTimersByTimeAsync(3000);
-  group.wantMap();
+  group.requestMap();
   await vi.advanceTimersByTimeAsync(3000);
   const versions = new Set(
     Array.from({ length: RANKS }, (_, rank) => engines.report(rank).activeVersion),
   );
   return {
     pauseMilliseconds,
-    mixed: engines.mixed(),
-    laterPauseMilliseconds: engines.longestPause(resumedAt),
+    mixedVersions: engines.mixedVersions(),
+    laterPauseMilliseconds: engines.longestPauseMilliseconds(resumedAt),
     versions,
   };
 }
@@ -150,7 +150,7 @@
     'goes on: $kind $count, after $delayMilliseconds ms, of $settleMilliseconds',
     async (point) => {
       const outcome = await stopLeader(point);
-      expect(outcome.mixed).toBeUndefined();
+      expect(outcome.mixedVersions).toBeUndefined();
       expect(outcome.pauseMilliseconds).toBeLessThan(LONGEST_PAUSE_MILLISECONDS);
       expect(outcome.laterPauseMilliseconds).toBeLessThan(LONGEST_PAUSE_MILLISECONDS);
       expect(outcome.versions.size).toBe(1);
@@ -168,7 +168,7 @@
     'keeps one map, and goes on with the machine: $kind $count, after $delayMilliseconds ms, of $settleMilliseconds',
     async (point) => {
       const outcome = await stopLeader(point);
-      expect(outcome.mixed).toBeUndefined();
+      expect(outcome.mixedVersions).toBeUndefined();
       expect(outcome.laterPauseMilliseconds).toBeLessThan(LONGEST_PAUSE_MILLISECONDS);
       expect(outcome.versions.size).toBe(1);
       expect(outcome.versions).not.toContain(0);
