--- a/packages/group-leader/src/compose-map.ts
+++ b/packages/group-leader/src/compose-map.ts
@@ -1,5 +1,5 @@
 /**
- * Puts a group's map together from what each rank says that it holds. Pure.
+ * Reconstructs a group's map from the experts that each rank reports. Pure.
  */
 import type { GroupMap } from '@lapisbridge/placement';
 
@@ -8,14 +8,14 @@
 
 export interface ComposedMap {
   readonly map: GroupMap;
-  /** Whether every rank said what it holds. */
+  /** Whether every rank reported its experts. */
   readonly isComplete: boolean;
 }
 
-/** Ranks that may be out of sight: with two, nobody could tell which of them holds what. */
+/** With two ranks missing it is unknown which of them holds which of the remaining experts. */
 const MAXIMUM_MISSING_RANKS = 1;
 
-/** Experts of a set that no rank names. */
+/** Experts of a set that no rank reports. */
 function findUncovered(
   ranks: readonly (readonly number[] | undefined)[],
   experts: number,
@@ -29,7 +29,10 @@
   return uncovered;
 }
 
-/** Undefined when a rank holds another version, or too many are out of sight. */
+/**
+ * Undefined when a rank reports another version, when more than one rank is missing, or when the
+ * reports do not cover all experts. A missing rank gets the experts that no other rank holds.
+ */
 export function composeMap(
   rankMaps: readonly (RankMap | undefined)[],
   version: number,
@@ -52,8 +55,8 @@
 }
 
 /**
- * A valid map in which one rank holds what it does now. What the other ranks hold in it is made up:
- * it is for voiding at that rank, and never comes into force.
+ * A valid map that keeps one rank's current experts and distributes the remaining ones arbitrarily
+ * over the other ranks. Used to overwrite a prepared map at that rank; never becomes active.
  */
 export function createPlaceholderMap(
   own: RankMap,
--- a/packages/group-leader/src/count-delta.ts
+++ b/packages/group-leader/src/count-delta.ts
@@ -1,35 +1,40 @@
 /**
- * What a rank's counts grew by between two tellings, and how it is packed for a datagram.
+ * Increments of a rank's expert counts between two reports, and their quantized encoding for a
+ * datagram.
  *
- * A leader hears every rank several times a second. With whole counts, 63 ranks with 2,016
- * experts each send 10 KB a time, more than the link of a small instance carries: reports come
- * late, ranks seem gone, and no map is ever changed. What counts is the sum over all ranks, so
- * each one is told coarsely: rounded up or down at random, such that the errors cancel out.
+ * A leader receives the counts of every rank several times a second. Sent exactly, the counts of 63
+ * ranks with 2,016 experts each take 10 KB per report, more than the link of a small instance
+ * carries: reports arrive late, ranks appear to be gone, and no new map is ever applied. Only the
+ * sum over all ranks matters, so each count is quantized with stochastic rounding, whose errors
+ * cancel out in the sum.
  */
 import { isObject, numberOf, textOf } from '@lapisbridge/json-call';
 
 import type { RankCounts } from './rank-client.js';
 
-/** How often each expert was chosen since the last telling, set after set. */
+/** How often each expert was selected since the previous report, set after set. */
 export interface CountDelta {
   readonly epoch: number;
   readonly counts: readonly number[];
 }
 
 export interface CountDeltaTracker {
-  /** Growth since the last call; undefined after the first one of the rank's life. */
+  /**
+   * Increments since the previous call. Undefined on the first call, and after the rank restarted.
+   */
   update(counts: RankCounts): CountDelta | undefined;
 }
 
-/** A rank that started again counts from nothing, so that some count is lower than before. */
+/** A restarted rank counts from zero, so at least one of its counts is lower than before. */
 function isContinuation(before: RankCounts, after: RankCounts): boolean {
   if (before.counts.length !== after.counts.length) return false;
   return after.counts.every((count, index) => count >= (before.counts[index] ?? 0));
 }
 
 /**
- * A rank's counts only grow while it lives. They go on when its group forms anew: what they grew
- * by since then tells the demand one telling sooner, while streams that waited are all late.
+ * Counts of a running rank never decrease, and they continue when its group forms again. The
+ * increments across that event are therefore valid, and make the demand known one report earlier,
+ * at a time when all streams that waited are late.
  */
 export function createCountDeltaTracker(): CountDeltaTracker {
   let last: RankCounts | undefined;
@@ -48,29 +53,29 @@
 
 export interface QuantizedCountDelta {
   readonly epoch: number;
-  /** Choices that one level stands for. */
+  /** Selections per level. */
   readonly unit: number;
   readonly length: number;
   readonly bits: number;
-  /** Base64 of the levels. */
+  /** One level per count, packed into bytes and encoded as base64. */
   readonly levels: string;
 }
 
 const FINE_BITS = 8;
 /**
- * Two counts a byte. Over three tellings of 63 ranks with drawn counts the sums are off by 1.3 in
- * 100 of an expert's mean demand (root mean square; 5.2 at most), less than what the mix of
- * requests makes.
+ * Two counts per byte. Over three reports from each of 63 ranks with random counts, the sums
+ * deviate by 1.3% of an expert's mean demand (root mean square; 5.2% at most), which is less than
+ * the variation caused by the mix of requests.
  */
 const COARSE_BITS = 4;
-/** Above this many counts a telling with a byte for each would not fit into one packet. */
+/** With one byte per count, a report of more counts than this does not fit into one packet. */
 const MAXIMUM_FINE_COUNTS = 600;
 
 function bitsFor(counts: readonly number[]): number {
   return counts.length > MAXIMUM_FINE_COUNTS ? COARSE_BITS : FINE_BITS;
 }
 
-/** `random` is uniform in [0, 1); `bits` of one count are 4 or 8. */
+/** `random` returns a uniform number in [0, 1). `bits` per count must be 4 or 8. */
 export function quantizeCountDelta(
   delta: CountDelta,
   random: () => number,
@@ -83,7 +88,7 @@
   const perByte = 8 / bits;
   const bytes = Buffer.alloc(Math.ceil(counts.length / perByte));
   for (const [index, count] of counts.entries()) {
-    // Above the highest level only by an error of the division.
+    // Rounding errors of the division can exceed the highest level.
     const level = Math.min(2 ** bits - 1, Math.floor(count / unit + random()));
     const at = Math.floor(index / perByte);
     bytes[at] = (bytes[at] ?? 0) + level * 2 ** ((index % perByte) * bits);
@@ -104,10 +109,10 @@
   return { epoch, counts };
 }
 
-/** Far above the largest models: 60 sets of 128 experts. */
+/** Far above the largest models, which have 60 sets of 128 experts. */
 const MAXIMUM_COUNTS = 100_000;
 
-/** Undefined where the value is no packed growth. */
+/** Undefined when the value is not a quantized count delta. */
 export function decodeCountDelta(value: unknown): QuantizedCountDelta | undefined {
   if (!isObject(value)) return undefined;
   const epoch = numberOf(value, 'epoch');
--- a/packages/group-leader/src/demand-window.ts
+++ b/packages/group-leader/src/demand.ts
@@ -1,25 +1,33 @@
 /**
- * How much each expert is in demand, from the counts that the ranks keep since they started.
- * Recent choices weigh most, since demand moves within seconds.
+ * Estimates the demand for each expert from the count deltas of all ranks. Counts decay
+ * exponentially, because demand shifts within seconds.
  */
 import type { ExpertLoad } from '@lapisbridge/placement';
 
 import type { CountDelta } from './count-delta.js';
 
 export interface DemandWindow {
-  /** Takes what a rank's counts grew by. */
+  /** Adds the count delta of one rank. Deltas of an earlier epoch are ignored. */
   add(delta: CountDelta): void;
-  /** Loads of each set, given how much slower than usual each rank is. */
+  /**
+   * Load of each expert set. A slowdown factor of 2 means that the rank takes twice its usual time.
+   */
   loads(sets: number, slowdownFactors: readonly number[]): ExpertLoad[];
-  /** Choices in the window, over all experts. */
+  /** Sum of the decayed selections of all experts. */
   totalChoices(): number;
-  /** Forgets what came before: the demand has shifted, and the old one would blur the new. */
+  /**
+   * Clears the window after a shift in demand, so that earlier selections do not distort the new
+   * estimate.
+   */
   reset(): void;
-  /** Milliseconds since the window was last empty. */
+  /** Time since the window was created or last reset. */
   ageMilliseconds(): number;
 }
 
-/** `windowMilliseconds` is the age at which a choice counts for about a third. */
+/**
+ * `windowMilliseconds` is the time constant of the decay: after it a selection has 37% of its
+ * weight.
+ */
 export function createDemandWindow(windowMilliseconds: number, now: () => number): DemandWindow {
   let decayedCounts: number[] = [];
   let decayedAt = now();
@@ -39,8 +47,8 @@
     add(delta) {
       if (epoch !== undefined && delta.epoch < epoch) return;
       if (delta.epoch !== epoch) {
-        // The group has formed anew. While it stood still nothing was chosen, so what was in
-        // demand before is the best guess, and not older by that time.
+        // The group has formed again. Nothing was selected while it was stopped, so the earlier
+        // demand is still the best estimate and does not decay for that time.
         epoch = delta.epoch;
         decayedAt = now();
       }
@@ -57,7 +65,7 @@
       const speeds = slowdownFactors.map((factor) => 1 / Math.max(1, factor));
       const loads: ExpertLoad[] = [];
       for (let set = 0; set < sets; set += 1) {
-        // An expert that was not chosen may be next: no expert counts as nothing.
+        // An expert that was not selected yet may be selected next, so no expert has zero load.
         const tokens = decayedCounts
           .slice(set * experts, (set + 1) * experts)
           .map((count) => count + 1);
--- a/packages/group-leader/src/group-leader.test.ts
+++ b/packages/group-leader/src/group-leader.test.ts
@@ -5,7 +5,7 @@
 
 import { composeMap } from './compose-map.js';
 import { createCountDeltaTracker } from './count-delta.js';
-import { createDemandWindow } from './demand-window.js';
+import { createDemandWindow } from './demand.js';
 import { createLeadership } from './leadership.js';
 import type { Leadership } from './leadership.js';
 import { createPassDurationEstimator } from './pass-duration.js';
@@ -14,7 +14,10 @@
   isLosingAnswers: boolean;
 }
 
-/** One row under a condition; while it is losing, writes take effect and are not answered. */
+/**
+ * A store of one row with conditional writes. While `isLosingAnswers`, writes take effect but are
+ * not answered.
+ */
 function createFakeStore(): FakeStore {
   let row: StoreRow | undefined;
   let revision = 10;
@@ -59,8 +62,8 @@
   return { leadership, clock };
 }
 
-describe('leading a group', () => {
-  it('falls to one of two that claim it at once', async () => {
+describe('group leadership', () => {
+  it('goes to one of two instances that claim it at the same time', async () => {
     const store = createFakeStore();
     const one = createMember(store, 'one');
     const two = createMember(store, 'two');
@@ -74,9 +77,9 @@
     expect(leading).toHaveLength(1);
   });
 
-  it('is found out when the answer to the claim was lost', async () => {
-    // The row names this instance, and it does not know. Nobody would lead, and demand would
-    // shift away from the maps.
+  it('is detected later when the answer to the claim was lost', async () => {
+    // The row names this instance, which does not know it. Without another read nobody would lead,
+    // and the maps would no longer follow the demand.
     const store = createFakeStore();
     store.isLosingAnswers = true;
     const one = createMember(store, 'one');
@@ -88,7 +91,7 @@
     expect(one.leadership.fencingNumber()).toBe(11);
   });
 
-  it('is not taken from a leader that lives although its datagrams do not arrive', async () => {
+  it('is not taken from a running leader whose datagrams do not arrive', async () => {
     const store = createFakeStore();
     const one = createMember(store, 'one');
     one.clock.now = 5000;
@@ -100,9 +103,9 @@
     expect(one.leadership.fencingNumber()).toBe(11);
   });
 
-  it('ends when a newer leader is heard, and is in doubt after a standstill', async () => {
-    // A leader freezes, is replaced, and wakes with orders in mind: two leaders would steer the
-    // ranks by turns.
+  it('ends when a newer leader was elected, and requires verification after a suspension', async () => {
+    // A leader freezes, is replaced, and resumes with orders still to send: two leaders would
+    // control the ranks alternately.
     const store = createFakeStore();
     const one = createMember(store, 'one');
     one.clock.now = 5000;
@@ -120,8 +123,8 @@
   });
 
   it('is claimed sooner by the rank that holds the group', async () => {
-    // The leader freezes while a hold stands, and with it every stream of the group. Callers
-    // leave after two seconds, so nobody may wait for the usual silence.
+    // The leader freezes while a hold is set, and with it every stream of the group. Callers leave
+    // after two seconds, so the usual election timeout is too long.
     const store = createFakeStore();
     const held = createMember(store, 'held');
     const other = createMember(store, 'other');
@@ -134,7 +137,7 @@
     expect(held.leadership.fencingNumber()).toBe(11);
   });
 
-  it('names the former leader’s rank only if that leader was heard to be settled', async () => {
+  it('names the previous leader’s rank only if that leader’s heartbeats said it was settled', async () => {
     const store = createFakeStore();
     const one = createMember(store, 'one');
     one.clock.now = 5000;
@@ -148,7 +151,7 @@
     }
   });
 
-  it('names the host of the former leader only if that did not answer', async () => {
+  it('names the previous leader’s host only if it did not answer', async () => {
     const store = createFakeStore();
     const one = createMember(store, 'one');
     one.clock.now = 5000;
@@ -168,7 +171,7 @@
 });
 
 describe('demand for experts', () => {
-  it('is what the counts grew by, and starts anew with a new epoch', () => {
+  it('is the sum of the count increments, and skips counts of a restarted rank', () => {
     let now = 0;
     const demand = createDemandWindow(1000, () => now);
     const deltaTracker = createCountDeltaTracker();
@@ -184,9 +187,9 @@
     expect(demand.totalChoices()).toBe(40);
   });
 
-  it('does not age while the group stands still', () => {
-    // A rank is cut off for six seconds. Forgetting what was in demand before would leave the
-    // group with its first map until enough was counted again, and every stream late.
+  it('does not decay while the group is stopped', () => {
+    // A rank is disconnected for six seconds. Without the earlier demand the group would stay on
+    // its initial map until enough selections were counted again, and every stream would be late.
     let now = 0;
     const demand = createDemandWindow(1000, () => now);
     demand.add({ epoch: 1, counts: [100] });
@@ -195,36 +198,36 @@
     expect(demand.totalChoices()).toBe(110);
   });
 
-  it('takes nothing of an epoch that is over', () => {
+  it('ignores counts of an earlier epoch', () => {
     const demand = createDemandWindow(1000, () => 0);
     demand.add({ epoch: 2, counts: [10] });
     demand.add({ epoch: 1, counts: [100] });
     expect(demand.totalChoices()).toBe(10);
   });
 
-  it('counts a slow rank as slower', () => {
+  it('takes the slowdown of a rank into account', () => {
     const demand = createDemandWindow(1000, () => 0);
     demand.add({ epoch: 1, counts: [0, 0] });
     expect(demand.loads(1, [1, 2])[0]?.speeds).toEqual([1, 0.5]);
   });
 });
 
-describe('a map put together from the ranks', () => {
+describe('map composed from rank reports', () => {
   const profile = { sets: 1, experts: 3, placesPerRank: 2, newPerRank: 1 };
 
-  it('fills a rank that is out of sight with what nobody else holds', () => {
+  it('assigns the experts that no other rank holds to a missing rank', () => {
     const composed = composeMap([{ version: 4, experts: [[0, 1]] }, undefined], 4, profile);
     expect(composed).toEqual({ map: { sets: [{ experts: [[0, 1], [2]] }] }, isComplete: false });
   });
 
-  it('is not made of two versions, nor of too few ranks', () => {
+  it('is undefined for mixed versions and for too many missing ranks', () => {
     const one = { version: 4, experts: [[0, 1, 2]] };
     expect(composeMap([one, { version: 5, experts: [[0]] }], 4, profile)).toBeUndefined();
     expect(composeMap([one, undefined, undefined], 4, profile)).toBeUndefined();
   });
 });
 
-it('measures a pass over the last tenths of a second', () => {
+it('measures the duration of a pass over the last tenths of a second', () => {
   let now = 0;
   const passDuration = createPassDurationEstimator(() => now);
   for (let step = 0; step < 20; step += 1) {
--- a/packages/group-leader/src/group-leader.ts
+++ b/packages/group-leader/src/group-leader.ts
@@ -1,7 +1,7 @@
 /**
- * Leads one group while this sidecar holds its row: watches the demand for experts, plans maps
- * and brings them into force. The decisions are pure and stand in `@lapisbridge/placement`;
- * here are the clock, the calls and the log.
+ * Leads one group while this sidecar is named in its row: watches the demand for experts, plans
+ * maps and rolls them out. The decisions are pure functions of `@lapisbridge/placement`; this
+ * module adds timing, calls and logging.
  */
 import type { Logger } from '@lapisbridge/logger';
 import {
@@ -25,18 +25,18 @@
 import type { Leadership } from './leadership.js';
 import { composeMap } from './compose-map.js';
 import { initialGroupMap } from './initial-group-map.js';
-import { createLossEstimator } from './order-loss-estimator.js';
+import { createLossEstimator } from './order-losses.js';
 import { createOrderThrottle } from './order-throttle.js';
 import { createPassDurationEstimator } from './pass-duration.js';
-import { planReportingIntervals } from './reporting-intervals.js';
+import { planReportingIntervals } from './plan-pace.js';
 import { settleWithoutStragglers } from './settle-without-stragglers.js';
 import type { RankClient, RankTarget, VersionedMap } from './rank-client.js';
 
-/** What is known of a rank without asking it. */
+/** Last known state of a rank, available without a call to it. */
 export interface RankOverview {
-  /** How much slower than usual the rank is; 1 when sound. */
+  /** Time that a pass takes at the rank relative to the usual; 1 for a healthy rank. */
   readonly pace: number;
-  /** Whether an order to hold or to switch stands at the rank. */
+  /** Whether a hold or an armed map switch is pending at the rank. */
   readonly hasPendingOrder: boolean;
 }
 
@@ -48,33 +48,36 @@
   now(): number;
   /** Last report of the backend server beside this sidecar. */
   ownReport(): RankReport | undefined;
-  /** Where the ranks of the group are, as far as known. */
+  /** Addresses of the group's ranks, as far as known. */
   targets(): ReadonlyMap<number, RankTarget>;
-  /** What was heard of the ranks, by rank. */
+  /** Last known state of each rank. */
   overviews(): ReadonlyMap<number, RankOverview>;
   profile(): GroupProfile | undefined;
 }
 
 export interface GroupLeader {
-  /** Whether this leader has seen the group free, with no hold and nothing armed. */
+  /** Whether this leader has seen the group without a hold and with no rank armed. */
   isSettled(): boolean;
   start(): void;
   stop(): void;
 }
 
-/** Between two looks while nothing changes, and while a rollout is on its way. */
+/** Loop interval while no rollout is in progress. */
 const IDLE_INTERVAL_MILLISECONDS = 60;
-/** Between two looks of a large group's rank at whether the leader is silent. */
+/** Loop interval of followers in a large group, which check whether the leader is silent. */
 const LARGE_GROUP_FOLLOWER_INTERVAL_MILLISECONDS = 200;
 const ROLLOUT_INTERVAL_MILLISECONDS = 4;
-/** Between two looks of a rank that holds its group at whether the leader is silent. */
+/** Loop interval of a follower whose rank holds the group. */
 const HELD_FOLLOWER_INTERVAL_MILLISECONDS = 20;
-/** A loop this late was frozen; somebody else may lead by now. */
+/** A loop that runs this late was suspended, and another leader may have been elected meanwhile. */
 const STALL_THRESHOLD_MILLISECONDS = 700;
-/** Reports older than this decide nothing: the slowest answer waited for, and a little. */
+/** Reports older than this are not acted on: the longest wait for an answer, and a margin. */
 const MAXIMUM_REPORT_AGE_MILLISECONDS = 800;
 
-/** A held rank must notice soon that its leader is silent: every stream of the group waits for it. */
+/**
+ * A held rank has to detect a silent leader quickly, because every stream of the group waits for
+ * it.
+ */
 function followerInterval({ heldStep, size }: RankReport): number {
   if (heldStep !== undefined) return HELD_FOLLOWER_INTERVAL_MILLISECONDS;
   return planReportingIntervals(size).areCountsRelayed
@@ -111,7 +114,8 @@
     state = initialRollout(-1);
     maps.clear();
     orderThrottle.reset();
-    // Where it stopped with its machine, every wait for it would keep a held group.
+    // If the previous leader stopped together with its machine, each wait for its rank would keep
+    // the group held.
     const silentHost = leadership.unresponsiveLeaderHost();
     if (silentHost !== undefined) rankClient.markUnreachable(silentHost);
   }
@@ -127,9 +131,9 @@
   }
 
   /**
-   * The map in force, asked of the ranks when an earlier leader made it. A rank that is out of
-   * sight is filled in with the experts that nobody else holds: enough to make orders at the
-   * others void, and not kept.
+   * The active map, read from the ranks when an earlier leader created it. A missing rank is filled
+   * in with the experts that no other rank holds. Such a map suffices to void orders at the other
+   * ranks, and is not cached.
    */
   async function findActiveMap(report: RankReport): Promise<GroupMap | undefined> {
     const { activeVersion, size } = report;
@@ -150,7 +154,7 @@
     return composed?.map;
   }
 
-  /** Sets a new target when the demand asks for one. */
+  /** Sets a new rollout target when the demand requires one. */
   async function planTarget(fencingNumber: number, ownReport: RankReport): Promise<void> {
     const profile = options.profile();
     if (profile === undefined || !mapPlanner.isDue()) return;
@@ -169,7 +173,7 @@
     state = { ...state, target: { version, map } };
   }
 
-  /** Whether all orders were accepted. */
+  /** Sends the orders that are due. Returns whether all orders were accepted. */
   async function sendOrders(
     fencingNumber: number,
     orders: readonly AddressedOrder[],
@@ -185,7 +189,8 @@
       sent.push(addressed);
       calls.push(rankClient.order(target, { fencingNumber, order, base }));
     }
-    // Maps take long to send; nothing stands still meanwhile, and sent again they take longer.
+    // Maps take long to send. The group is not held meanwhile, and sending them again would take
+    // even longer.
     const isUrgent = sent.every(({ order }) => order.kind !== RankOrderKind.Prepare);
     const outcomes = isUrgent
       ? await settleWithoutStragglers(calls, OrderOutcome.Unknown)
@@ -210,7 +215,7 @@
       kind: 'rollout',
       subject: `epoch ${plan.state.epoch}`,
       choice: plan.phase,
-      reason: `after ${lastPhase}`,
+      reason: `previous phase: ${lastPhase}`,
       facts: {
         version: plan.state.target?.version,
         heldStep: plan.state.heldStep,
@@ -221,7 +226,9 @@
     if (plan.phase === RolloutPhase.Done) orderThrottle.reset();
   }
 
-  /** A version higher than the target's at any rank makes the target unreachable. */
+  /**
+   * Drops the target when a rank has a higher version, since ranks accept only increasing versions.
+   */
   function dropSupersededTarget(reports: readonly (RankReport | undefined)[]): void {
     const { target } = state;
     if (target === undefined || state.armsSent) return;
@@ -242,14 +249,17 @@
     return ownReport.heldStep !== undefined || ownReport.armed !== undefined;
   }
 
-  /** Tells once what keeps this leader from acting. */
+  /** Logs each change of what keeps this leader from acting. */
   function logObstacle(obstacle: string): void {
     if (obstacle === lastObstacle) return;
     lastObstacle = obstacle;
-    if (obstacle !== '') logger.info('leader cannot act', { obstacle });
+    if (obstacle !== '') logger.info('group leader is blocked', { obstacle });
   }
 
-  /** Whether orders were given, whose effect is to be looked for soon. */
+  /**
+   * Reads all reports and carries out the next steps of the rollout. Returns whether orders were
+   * sent, whose effect should be checked soon.
+   */
   async function advanceRollout(fencingNumber: number, ownReport: RankReport): Promise<boolean> {
     const requestedAt = now();
     const requestedAtWallClock = Date.now();
@@ -259,10 +269,10 @@
     for (const [rank, report] of reports.entries()) if (report === undefined) missing.push(rank);
     dropSupersededTarget(reports);
     const map = await findActiveMap(ownReport);
-    if (missing.length > 0) logObstacle(`no report of ranks ${missing.join(', ')}`);
-    else logObstacle(map === undefined ? 'the map in force is not known' : '');
+    if (missing.length > 0) logObstacle(`no report from ranks ${missing.join(', ')}`);
+    else logObstacle(map === undefined ? 'the active map is unknown' : '');
     if (map === undefined) return false;
-    // An old clearing version cannot void what was prepared since.
+    // A voiding version lower than a version that was prepared since cannot replace it.
     const isOutdated = reports.some((report) => (report?.preparedVersion ?? 0) > voidingVersion);
     if (isOutdated && (state.target === undefined || state.armsSent)) {
       voidingVersion = nextVersion(fencingNumber);
@@ -277,12 +287,14 @@
     };
     let hasOrders = false;
     let current: readonly (RankReport | undefined)[] | undefined = reports;
-    // Another look between arming and release would only lengthen the time in which a stop of this
-    // machine leaves the group held.
+    // Accepted orders are assumed to be in effect: reading the reports again between arm and
+    // release would only lengthen the time in which a failure of this machine leaves the group
+    // held.
     while (current !== undefined) {
       const plan: RolloutPlan = planHoldRollout({ ...input, state, reports: current });
-      // A process that stood still since it asked may have been replaced: what it would order now
-      // could undo its successor's work. Suspended machines show only on the wall clock.
+      // If this process was suspended since it requested the reports, another leader may have
+      // replaced it, and its orders could undo that leader's work. Suspension of the whole machine
+      // shows only on the wall clock.
       const ageMilliseconds = Math.max(
         now() - requestedAt,
         Math.abs(Date.now() - requestedAtWallClock),
@@ -336,9 +348,9 @@
     try {
       pauseMilliseconds = await tick();
     } catch (thrown) {
-      logger.warn('leading failed', { reason: String(thrown) });
+      logger.warn('group leader iteration failed', { reason: String(thrown) });
     }
-    // Time spent waiting for answers is no sign of a frozen process.
+    // Waiting for answers must not count as a suspended process.
     lastTickAt = now() + pauseMilliseconds;
     if (!stopped) timer = setTimeout(() => void loop(), pauseMilliseconds);
   }
--- a/packages/group-leader/src/index.ts
+++ b/packages/group-leader/src/index.ts
@@ -1,6 +1,5 @@
 /**
- * One lock-step group: who leads it, what its experts' demand is, and how new maps come into
- * force.
+ * Leader of one lock-step group: election, expert demand, and rollout of expert maps.
  */
 export {
   createCountDeltaTracker,
@@ -10,8 +9,8 @@
 } from './count-delta.js';
 export type { CountDelta, CountDeltaTracker, QuantizedCountDelta } from './count-delta.js';
 export { createPlaceholderMap } from './compose-map.js';
-export { createDemandWindow } from './demand-window.js';
-export type { DemandWindow } from './demand-window.js';
+export { createDemandWindow } from './demand.js';
+export type { DemandWindow } from './demand.js';
 export { initialGroupMap } from './initial-group-map.js';
 export { createGroupLeader } from './group-leader.js';
 export { createMapPlanner } from './map-planner.js';
@@ -19,8 +18,8 @@
 export type { GroupLeader, GroupLeaderOptions, RankOverview } from './group-leader.js';
 export { createLeadership } from './leadership.js';
 export type { Leadership, LeadershipOptions } from './leadership.js';
-export { planReportingIntervals } from './reporting-intervals.js';
-export type { ReportingIntervals } from './reporting-intervals.js';
+export { planReportingIntervals } from './plan-pace.js';
+export type { ReportingIntervals } from './plan-pace.js';
 export { createReportRequests } from './report-requests.js';
 export type { ReportRequests } from './report-requests.js';
 export { forwardPrepare } from './prepare-forwarding.js';
--- a/packages/group-leader/src/initial-group-map.ts
+++ b/packages/group-leader/src/initial-group-map.ts
@@ -1,5 +1,6 @@
 /**
- * The map that engines give a group when it forms: experts in turn, in every set.
+ * The map with which engines start a newly formed group: experts assigned round-robin, in every
+ * set.
  */
 import { initialMap } from '@lapisbridge/placement';
 import type { GroupMap } from '@lapisbridge/placement';
--- a/packages/group-leader/src/large-group.test.ts
+++ b/packages/group-leader/src/large-group.test.ts
@@ -10,22 +10,22 @@
   dequantizeCountDelta,
 } from './count-delta.js';
 import { packMapDelta, packMap, unpackMapDelta, unpackMap } from './pack-map.js';
-import { planReportingIntervals } from './reporting-intervals.js';
+import { planReportingIntervals } from './plan-pace.js';
 import { createReportRequests } from './report-requests.js';
 import type { ReportRequests } from './report-requests.js';
 
 const RANKS = 63;
 const EXPERTS = 252;
 const SETS = 8;
-/** Link of the smallest sidecar that is deployed, in bytes a second. */
+/** Bandwidth of the smallest deployed sidecar's link, in bytes per second. */
 const LINK_BYTES_PER_SECOND = 5_600_000 / 8;
-/** The report and the sender's name beside the counts. */
+/** Size of the report and the sender's name that accompany the counts. */
 const ENVELOPE_BYTES = 700;
 
 describe('a group of 63 ranks', () => {
-  it('tells its leader its counts within half of the leader’s link', () => {
-    // The leader hears 62 ranks. Where their counts fill its link, reports come seconds late and
-    // get lost, no map is ever changed, and once demand shifts every stream is late.
+  it('reports its counts within two thirds of the leader’s bandwidth', () => {
+    // Guards against 62 ranks whose counts saturate the leader's link: reports arrive seconds late
+    // or get lost, no map is ever changed, and every stream is late once demand shifts.
     const counts = Array.from({ length: SETS * EXPERTS }, (_, index) => (index % 97) * 1000);
     const packed = quantizeCountDelta({ epoch: 1, counts }, () => 0.5);
     const bytesPerReport = JSON.stringify(packed).length + ENVELOPE_BYTES;
@@ -34,7 +34,7 @@
     expect(bytesPerSecond).toBeLessThan(LINK_BYTES_PER_SECOND / 1.5);
   });
 
-  it('is sent a map within half a second of the leader’s link', () => {
+  it('receives a map within half a second of the leader’s bandwidth', () => {
     const map = { sets: Array.from({ length: SETS }, () => initialMap(EXPERTS, RANKS)) };
     const bytes = JSON.stringify(packMap(map)).length * (RANKS - 1);
     expect(bytes).toBeLessThan(LINK_BYTES_PER_SECOND / 2);
@@ -42,10 +42,10 @@
   });
 });
 
-describe('coarse counts', () => {
-  it('sum up to nearly what was chosen', () => {
-    // Each rank rounds what it tells. Rounding everything down would hide the many experts that
-    // are chosen now and then, and a plan would put them all on one rank.
+describe('quantized counts', () => {
+  it('sum up to nearly the exact counts', () => {
+    // Guards against biased rounding: if every rank rounded down, the many rarely selected experts
+    // would be invisible, and a plan would put them all on one rank.
     const random = createRandom(7);
     const weights = Array.from({ length: SETS * EXPERTS }, () => random() ** 3);
     const exact = weights.map(() => 0);
@@ -65,7 +65,7 @@
   });
 });
 
-it('refuses packed maps that were cut or are for other ranks', () => {
+it('rejects packed maps that are truncated or for another number of ranks', () => {
   fc.assert(
     fc.property(
       fc.integer({ min: 1, max: 20 }),
@@ -84,7 +84,7 @@
   );
 });
 
-describe('a map told as what differs from the one in force', () => {
+describe('map delta', () => {
   const base = { sets: Array.from({ length: SETS }, () => initialMap(EXPERTS, RANKS)) };
   const changed = {
     sets: base.sets.map(({ experts }) => ({
@@ -92,16 +92,16 @@
     })),
   };
 
-  it('comes out as it was, and takes less than half of the bytes', () => {
+  it('restores the map, and takes less than half of the bytes', () => {
     const packed = packMapDelta(base, 0, changed);
     expect(unpackMapDelta(base, packed)).toEqual(changed);
     expect(JSON.stringify(packed).length).toBeLessThan(JSON.stringify(packMap(changed)).length / 2);
   });
 
-  it('is refused where the rank remembers another map by that version', () => {
-    // A leader that took over puts the map in force together from what it can see, and fills in
-    // what it cannot. A rank that applied the changes to its own copy would get other experts
-    // than the rest, and a pass would begin with two maps.
+  it('is rejected when the rank has another map under the base version', () => {
+    // A new leader reconstructs the active map and fills in the parts it cannot read. A rank that
+    // applied the delta to its own, different copy would hold other experts than the rest expects,
+    // and a pass would start with two maps.
     const [first, ...others] = base.sets;
     const swapped = [...(first?.experts ?? [])].reverse();
     const other = { sets: [{ experts: swapped }, ...others] };
@@ -110,7 +110,7 @@
   });
 });
 
-describe('a question for a fresh report', () => {
+describe('report request', () => {
   const report = { rank: 1 } as RankReport;
 
   function createRequests(send: (host: string, question: number) => boolean): ReportRequests {
@@ -118,32 +118,33 @@
   }
 
   it('to the own rank is answered without a datagram', async () => {
-    // Guards against leaders that wait in vain for an answer of themselves with every look.
+    // Guards against leaders that wait in vain for their own answer in every iteration.
     const requests = createRequests(() => {
       throw new Error('a datagram was sent');
     });
     expect(await requests.requestReport('own')).toBe(report);
   });
 
-  it('is answered by its own answer only', async () => {
+  it('resolves only with the answer that carries its identifier', async () => {
     const asked: number[] = [];
     const requests = createRequests((_, question) => asked.push(question) > 0);
     const [first, second] = [requests.requestReport('one'), requests.requestReport('two')];
     requests.onAnswer(asked[1] ?? 0, report);
     expect(await second).toBe(report);
-    // Nothing answers the first: it ends by itself.
+    // The first request is never answered and ends by its timeout.
     expect(await first).toBeUndefined();
   });
 
-  it('ends at once where nobody can be asked', async () => {
+  it('resolves at once when no sidecar is known at the host', async () => {
     expect(await createRequests(() => false).requestReport('nobody')).toBeUndefined();
   });
 });
 
-describe('counts of a group that forms anew', () => {
-  it('go on where its ranks lived on, and start anew where one started again', () => {
-    // A rank was cut off for five seconds. The others count on; waiting for two tellings of the
-    // new epoch would leave the group with its first map for a third of a second more.
+describe('counts of a group that forms again', () => {
+  it('continue for ranks that kept running, and start over for a restarted rank', () => {
+    // A rank was disconnected for five seconds while the others kept counting. Waiting for two
+    // reports of the new epoch would keep the group on its initial map for another third of a
+    // second.
     const deltaTracker = createCountDeltaTracker();
     deltaTracker.update({ epoch: 1, counts: [10, 10] });
     expect(deltaTracker.update({ epoch: 2, counts: [15, 30] })).toEqual({
--- a/packages/group-leader/src/leader-rollout.test.ts
+++ b/packages/group-leader/src/leader-rollout.test.ts
@@ -15,7 +15,7 @@
 
 afterEach(() => leader?.stop());
 
-/** A group of engines that carry out whatever they are told at once. */
+/** Creates the engines of a group, which execute every order at once. */
 function createEngines(): { reports: RankReport[]; execute(rank: number, order: RankOrder): void } {
   const reports = Array.from({ length: RANKS }, (_, rank): RankReport => ({
     group: 'group',
@@ -33,7 +33,7 @@
     waiting: 0,
   }));
 
-  /** The armed ranks switch with the pass that was held. */
+  /** The armed ranks switch maps with the pass that was held. */
   function switchArmedRanks(): void {
     for (const [rank, report] of reports.entries()) {
       const { armed } = report;
@@ -81,9 +81,9 @@
   }),
 );
 
-it('gives an order again whose answer stays away, while the group is held', async () => {
-  // A rank leaves its order to arm unanswered. Until it is armed no pass begins, and every stream of
-  // the group pauses for as long as the leader waits for that one answer.
+it('sends an unanswered order again while the group is held', async () => {
+  // A rank does not answer its arm order. No pass starts until it is armed, so every stream of the
+  // group pauses for as long as the leader waits for that one answer.
   const engines = createEngines();
   const unanswered = new Set([2]);
   const armedRanks: number[] = [];
@@ -108,7 +108,7 @@
           armedRanks.push(rank);
           if (unanswered.delete(rank)) {
             return new Promise(() => {
-              // The engine says nothing.
+              // Never settles: the engine does not answer.
             });
           }
         }
--- a/packages/group-leader/src/leadership.ts
+++ b/packages/group-leader/src/leadership.ts
@@ -1,8 +1,9 @@
 /**
- * Who leads a group: the sidecar whose name stands in the group's row. The row's revision is
- * the leader's fencing number. Nothing is renewed, since calls to the store are what costs:
- * followers hear the leader by datagrams, and claim the row when it falls silent. Two may then
- * believe to lead for a while; safety rests on fencing and on the rollout, not on this.
+ * Leader election of a group: the leader is the sidecar named in the group's row, and the row's
+ * revision is its fencing number. There is no lease to renew, since calls to the store are the main
+ * cost: followers receive heartbeats by datagram and claim the row when these stop. Two sidecars
+ * may therefore believe for a while that they lead; safety comes from the fencing number and the
+ * rollout protocol, not from the election.
  */
 import { TransactionKind } from '@lapisbridge/catalog';
 import type { Store } from '@lapisbridge/catalog';
@@ -13,36 +14,48 @@
   readonly store: Store;
   readonly instanceId: string;
   readonly logger: Logger;
-  /** This instance's host, where others ask whether it still leads. */
+  /** This instance's host, at which others can query whether it still leads. */
   readonly host: string;
-  /** Fencing number of the leader at a host; undefined when it does not lead. Rejects unanswered. */
+  /**
+   * Queries the fencing number of the leader at a host; undefined when it does not lead. Rejects
+   * when no answer arrives.
+   */
   queryLeader(host: string): Promise<number | undefined>;
   now(): number;
   random(): number;
 }
 
-/** The rank beside this instance, as far as leading its group goes. */
+/** State of this instance's rank that matters for the election. */
 export interface GroupMember {
   readonly group: string;
   readonly rank: number;
-  /** Whether this rank keeps the group from beginning a pass. */
+  /** Whether a hold at this rank keeps the group from starting a pass. */
   readonly isHeld: boolean;
 }
 
 export interface Leadership {
-  /** Fencing number while this instance leads. */
+  /** Fencing number while this instance leads and its leadership needs no verification. */
   fencingNumber(): number | undefined;
-  /** Rank of the leader before this one, if it was heard to have seen the group free. */
+  /**
+   * Rank of the previous leader; undefined unless its heartbeats said that it had seen the group
+   * without pending orders.
+   */
   previousLeaderRank(): number | undefined;
-  /** Host of the leader before this one, if it did not answer when it was replaced. */
+  /** Host of the previous leader if it did not answer when it was replaced. */
   unresponsiveLeaderHost(): string | undefined;
-  /** Takes note of another leader's number; false when a higher one is known. */
+  /** Records another leader's fencing number; false when a higher one is known. */
   acceptFencingNumber(fencingNumber: number): boolean;
-  /** Notes that the leader was heard just now. */
+  /** Records a heartbeat of the leader. */
   onLeaderHeartbeat(fencingNumber: number, isSettled: boolean): void;
-  /** Claims the group when its leader has been silent for long enough. */
+  /**
+   * Claims the group when its leader has been silent for too long, or verifies this instance's own
+   * leadership when required. Does nothing while an earlier attempt is running.
+   */
   claimOrVerify(member: GroupMember): Promise<void>;
-  /** Called after this process stood still: it may have been replaced meanwhile. */
+  /**
+   * Requires that the row is read before this instance leads on, since another may have replaced
+   * it: after this process was suspended, or after a rank refused an order as fenced.
+   */
   requireVerification(): void;
 }
 
@@ -54,20 +67,22 @@
 }
 
 const TABLE = 'group-leaders';
-/** Silence of the leader before it is replaced: six of its beats. */
+/** Silence after which a leader is replaced: six of its heartbeats. */
 const ELECTION_TIMEOUT_MILLISECONDS = 1000;
 /**
- * The same where a hold stands at this rank. A leader that freezes then stops every stream of
- * the group, and callers leave after two seconds; with the usual silence, claim and look a group
- * was held for 2.4 s. The named leader is asked before it is replaced, so haste costs one read.
+ * Shorter silence that applies while this rank holds the group. A leader that freezes then stops
+ * every stream of the group, and callers leave after two seconds; with the usual timeout, the claim
+ * and the first round of reports, a group was held for 2.4 s. The previous leader is queried before
+ * it is replaced, so a premature attempt costs one read.
  */
 const HELD_ELECTION_TIMEOUT_MILLISECONDS = 400;
-/** Ranks claim one after the other, so that the first is usually alone. */
+/** Delay between the claims of successive ranks, so that usually only the first one claims. */
 const RANK_STAGGER_MILLISECONDS = 120;
 /**
- * Time after the start before the group is claimed. Where a leader lives it is found by its
- * row, so this only has to cover the start of the others, which takes some 100 ms; after a loss
- * of power the group runs on its first map, 3.5 times too slow, until somebody leads.
+ * Delay after startup before the group is claimed. A running leader is found through its row, so
+ * this only has to cover the startup of the other ranks, which takes some 100 ms. It is short
+ * because after a power failure the group runs on its initial map, 3.5 times too slow, until it has
+ * a leader.
  */
 const STARTUP_DELAY_MILLISECONDS = 300;
 const RETRY_INTERVAL_MILLISECONDS = 600;
@@ -88,7 +103,7 @@
 
   function stepDown(reason: string): void {
     if (ownFencingNumber === undefined) return;
-    logger.info('no longer leading', { fence: ownFencingNumber, reason });
+    logger.info('lost group leadership', { fence: ownFencingNumber, reason });
     ownFencingNumber = undefined;
     needsVerification = false;
     lastHeartbeatAt = now();
@@ -107,7 +122,7 @@
     ownFencingNumber = revision;
     highestFencingNumber = Math.max(highestFencingNumber, revision);
     needsVerification = false;
-    logger.info('leading', { group, fence: revision });
+    logger.info('became group leader', { group, fence: revision });
   }
 
   async function queryPreviousLeader(host: string | undefined): Promise<number | undefined> {
@@ -127,7 +142,8 @@
       becomeLeader(group, before.revision);
       return;
     }
-    // Datagrams may not have reached this instance yet; the leader named there may well live.
+    // Heartbeats may not have reached this instance yet, while the leader named in the row is
+    // running.
     const answeredFencingNumber = await queryPreviousLeader(before.host);
     if (answeredFencingNumber === before.revision) {
       lastHeartbeatAt = now();
@@ -142,14 +158,14 @@
         expectedRevision: before.revision,
       },
     ]);
-    // An unknown outcome is read back with the next try.
+    // If the outcome is unknown, the next attempt reads the row.
     if (written.kind === TransactionKind.Applied) becomeLeader(group, written.revision);
   }
 
   async function verify(group: string): Promise<void> {
     const row = await readRow(group);
     if (row.isOwn && row.revision === ownFencingNumber) needsVerification = false;
-    else stepDown('the row names another');
+    else stepDown('the row names another leader');
   }
 
   return {
@@ -160,7 +176,7 @@
       if (fencingNumber < highestFencingNumber) return false;
       highestFencingNumber = fencingNumber;
       if (ownFencingNumber !== undefined && fencingNumber > ownFencingNumber)
-        stepDown('a newer leader gave an order');
+        stepDown('received an order of a newer leader');
       return true;
     },
     onLeaderHeartbeat(fencingNumber, isSettled) {
@@ -169,7 +185,7 @@
       highestFencingNumber = fencingNumber;
       lastHeartbeatAt = now();
       if (ownFencingNumber !== undefined && fencingNumber > ownFencingNumber)
-        stepDown('a newer leader is heard');
+        stepDown('received a heartbeat of a newer leader');
     },
     async claimOrVerify({ group, rank, isHeld }) {
       if (isAttemptRunning || now() < nextAttemptAt) return;
@@ -184,7 +200,7 @@
         if (ownFencingNumber === undefined) await claim(group, rank);
         else await verify(group);
       } catch (thrown) {
-        logger.info('leadership not settled', { group, reason: String(thrown) });
+        logger.info('leadership claim or verification failed', { group, reason: String(thrown) });
       } finally {
         isAttemptRunning = false;
       }
@@ -192,9 +208,9 @@
     requireVerification() {
       if (ownFencingNumber === undefined) return;
       needsVerification = true;
-      logger.info('leadership doubted', {
+      logger.info('leadership requires verification', {
         fence: ownFencingNumber,
-        reason: 'this process stood still',
+        reason: 'this process was suspended or its order was fenced',
       });
     },
   };
--- a/packages/group-leader/src/map-planner.test.ts
+++ b/packages/group-leader/src/map-planner.test.ts
@@ -4,7 +4,7 @@
 import { describe, expect, it } from 'vitest';
 
 import { createCountDeltaTracker } from './count-delta.js';
-import { createDemandWindow } from './demand-window.js';
+import { createDemandWindow } from './demand.js';
 import { createMapPlanner } from './map-planner.js';
 
 const RANKS = 4;
@@ -56,8 +56,8 @@
   };
 }
 
-describe('a map', () => {
-  it('stays while the load is even', async () => {
+describe('map planner', () => {
+  it('keeps the map while the load is even', async () => {
     const { select, plan, clock } = createFixture();
     select(1, EVEN);
     select(1, EVEN);
@@ -65,7 +65,7 @@
     expect(await plan(1)).toBeUndefined();
   });
 
-  it('is planned after a shift once enough was chosen since', async () => {
+  it('plans a map after a shift, once enough selections were made since', async () => {
     const { select, plan, clock } = createFixture();
     select(1, EVEN);
     select(1, EVEN);
@@ -78,9 +78,9 @@
     expect(await plan(1)).toBeDefined();
   });
 
-  it('is planned at once when the group has formed anew', async () => {
-    // A rank was cut off; the group is back with its first map, and streams that waited for it
-    // fill every slot. Each pass takes three times as long until a better map is in force.
+  it('plans a map at once when the group has formed again', async () => {
+    // A rank was disconnected and the group formed again on its initial map. Streams that waited
+    // occupy every slot, and each pass takes three times as long until a better map is active.
     const { select, plan, clock } = createFixture();
     select(1, EVEN);
     select(1, SKEWED);
--- a/packages/group-leader/src/map-planner.ts
+++ b/packages/group-leader/src/map-planner.ts
@@ -1,6 +1,7 @@
 /**
- * Watches the demand for experts and decides when a group gets a new map: after a shift, on what
- * came since; when the load has become uneven; and as soon as the group has formed anew.
+ * Decides when a group needs a new expert map, and plans it: after a shift in demand, from the
+ * selections made since the shift; when the load has become uneven; and as soon as the group has
+ * formed again.
  */
 import { setImmediate } from 'node:timers/promises';
 
@@ -8,9 +9,9 @@
 import { planGroupMap, rankTimes, skewOf } from '@lapisbridge/placement';
 import type { GroupMap, RankReport } from '@lapisbridge/placement';
 
-import type { DemandWindow } from './demand-window.js';
+import type { DemandWindow } from './demand.js';
 
-/** What a model's engines allow. */
+/** Size and limits of a model's expert placement. */
 export interface GroupProfile {
   readonly sets: number;
   readonly experts: number;
@@ -19,52 +20,60 @@
 }
 
 export interface MapPlannerOptions {
-  /** Over about a second: what maps are planned for. */
+  /** Window of about a second, from which maps are planned. */
   readonly demand: DemandWindow;
-  /** Over some tenths of a second: shows a shift early, and is too noisy to plan for. */
+  /** Window of a few tenths of a second. Detects a shift early, but is too noisy to plan from. */
   readonly recentDemand: DemandWindow;
   readonly logger: Logger;
   now(): number;
 }
 
 export interface PlanningInput {
-  /** Last report of the rank beside the leader. */
+  /** Last report of the leader's own rank. */
   readonly ownReport: RankReport;
   /** The map in force. */
   readonly current: GroupMap;
   readonly profile: GroupProfile;
-  /** How much slower than usual each rank is. */
+  /** By rank: time that a pass takes relative to the usual; 1 for a healthy rank. */
   readonly slowdownFactors: readonly number[];
 }
 
 export interface MapPlanner {
-  /** Whether it is time for another look. */
+  /** Whether the planning interval has elapsed. */
   isDue(): boolean;
-  /** The map to bring into force; undefined when the one in force stays. */
+  /** The map to apply; undefined when the active map stays. */
   plan(view: PlanningInput): Promise<GroupMap | undefined>;
 }
 
-/** Between two looks at the skew. */
+/** Interval between two evaluations of the skew. */
 const PLANNING_INTERVAL_MILLISECONDS = 80;
-/** Skew from which the load is planned for anew without a shift: well above the 1.25 of new maps. */
+/**
+ * Skew that triggers planning without a shift. Well above the 1.25 that newly planned maps have.
+ */
 const REPLAN_SKEW = 1.65;
-/** Skew of the last tenths of a second that means a shift, above what the mix of a few requests makes. */
+/**
+ * Skew of the recent window that counts as a shift. Higher than what the mix of a few requests
+ * causes.
+ */
 const SHIFT_SKEW = 1.75;
-/** A change must shorten the experts' part of a pass by this share: loading slows passes. */
+/**
+ * A new map must shorten the expert computation of a pass by at least this share, because loading
+ * experts slows passes down.
+ */
 const MINIMUM_GAIN = 0.1;
 /**
- * After a shift, choices are gathered for this long before a plan is made of them alone. Also in
- * large groups, whose ranks tell more rarely: there a shift is noticed later too, so that what
- * they tell next was chosen after it.
+ * Time for which selections are collected after a shift, before a map is planned from them alone.
+ * The same in large groups, whose ranks report less often: there the shift is also detected later,
+ * so that the next reports contain only selections made after it.
  */
 const GATHERING_MILLISECONDS = 190;
 /**
- * Choices of each expert on average that must be in a window before it says anything: those of
- * about five requests in a group of 12 ranks with 4 sets of 72 experts.
+ * Average number of selections per expert below which a window is not representative. Corresponds
+ * to about five requests in a group of 12 ranks with 4 sets of 72 experts.
  */
 const MINIMUM_CHOICES_PER_EXPERT = 2400;
 
-/** Most loaded rank against the mean, over all sets. */
+/** Ratio of the slowest rank's time to the mean, over all sets. */
 function skewUnderMap(
   window: DemandWindow,
   map: GroupMap,
@@ -98,8 +107,8 @@
     const minimumChoices = MINIMUM_CHOICES_PER_EXPERT * profile.sets * profile.experts;
     if (ownReport.epoch !== plannedEpoch) {
       plannedEpoch = ownReport.epoch;
-      // A group that formed anew is back at its first map. Planning for the demand from before
-      // brings a balanced one some 0.4 s sooner than gathering would.
+      // A group that has just formed is back on its initial map. Planning from the earlier demand
+      // balances it about 0.4 s sooner than collecting new selections would.
       isGathering = demand.totalChoices() > minimumChoices;
     }
     if (!isGathering) {
@@ -109,13 +118,13 @@
       if (!hasShifted && (skew < REPLAN_SKEW || demand.totalChoices() < minimumChoices))
         return undefined;
       isGathering = true;
-      // What came before the shift would blur what comes now.
+      // Selections from before the shift would distort the new estimate.
       if (hasShifted) demand.reset();
       logger.decision({
         kind: 'placement',
         subject: ownReport.group,
         choice: 'gather',
-        reason: hasShifted ? 'the demand has shifted' : 'the load is uneven',
+        reason: hasShifted ? 'expert demand has shifted' : 'expert load is uneven',
         facts: {
           skew: Number(skew.toFixed(3)),
           recentSkew: Number(recentSkew.toFixed(3)),
@@ -139,7 +148,7 @@
       kind: 'placement',
       subject: ownReport.group,
       choice: decision.isWorthIt ? 'change' : 'keep',
-      reason: `${decision.moves} loads`,
+      reason: `${decision.moves} experts to load`,
       facts: {
         skewBefore: Number(decision.skewBefore.toFixed(3)),
         skewAfter: Number(decision.skewAfter.toFixed(3)),
--- a/packages/group-leader/src/order-loss-estimator.test.ts
+++ b/packages/group-leader/src/order-losses.test.ts
@@ -1,6 +1,6 @@
 import { expect, it } from 'vitest';
 
-import { createLossEstimator } from './order-loss-estimator.js';
+import { createLossEstimator } from './order-losses.js';
 
 function setUp(): { estimator: ReturnType<typeof createLossEstimator>; wait(time: number): void } {
   let now = 0;
@@ -12,16 +12,16 @@
   };
 }
 
-it('expects one round where every order is answered, or nearly', () => {
+it('expects one round when all or nearly all orders are answered', () => {
   const { estimator } = setUp();
   expect(estimator.expectedRounds(72)).toBe(1);
   estimator.record(200, 1);
   expect(estimator.expectedRounds(72)).toBe(1);
 });
 
-it('expects more rounds of more ranks, and of a greater share that is lost', () => {
-  // Ranks leave a tenth of their orders unanswered. With the hold planned for one round, 7 of 72
-  // ranks are not armed when the group gets there, and every stream pauses for half a second.
+it('expects more rounds for more ranks and for a higher loss rate', () => {
+  // A tenth of the orders is not answered. With the hold planned for a single round, 7 of 72 ranks
+  // are not armed when the group reaches it, and every stream pauses for half a second.
   const few = setUp().estimator;
   few.record(72, 7);
   expect(few.expectedRounds(72)).toBeGreaterThan(few.expectedRounds(8));
@@ -31,7 +31,7 @@
   expect(many.expectedRounds(16)).toBe(5);
 });
 
-it('forgets losses that are over', () => {
+it('forgets past losses', () => {
   const { estimator, wait } = setUp();
   estimator.record(72, 7);
   wait(20_000);
@@ -39,7 +39,7 @@
   expect(estimator.expectedRounds(72)).toBe(1);
 });
 
-it('stays bounded when nothing is answered', () => {
+it('is bounded when no order is answered', () => {
   const { estimator } = setUp();
   estimator.record(16, 16);
   expect(estimator.expectedRounds(1000)).toBe(5);
--- a/packages/group-leader/src/order-loss-estimator.ts
+++ b/packages/group-leader/src/order-losses.ts
@@ -1,18 +1,24 @@
 /**
- * How many orders got no answer of late, and how many times an order must be expected to be given
- * until all ranks have it. A hold is planned so far ahead that the group does not reach it before.
+ * Estimates the recent loss rate of orders and, from it, how many times an order has to be sent
+ * until all ranks have it. A hold is planned that far ahead, so that the group does not reach its
+ * step before every rank is ready.
  */
 export interface OrderLossEstimator {
   record(sent: number, unanswered: number): void;
-  /** Times that one order goes out until most likely every rank has taken it; 1 without losses. */
+  /**
+   * Expected number of sends until most likely every rank has accepted an order; 1 without losses.
+   */
   expectedRounds(ranks: number): number;
 }
 
-/** Age at which an order counts for about a third. */
+/** Time constant of the decay: after it an order has 37% of its weight. */
 const DECAY_MILLISECONDS = 6000;
-/** Below this share losses are chance: a whole round for them would keep the old map for longer. */
+/**
+ * Losses below this ratio are treated as chance, because planning another round for them would keep
+ * the old map active for longer.
+ */
 const MINIMUM_LOSS_RATIO = 0.02;
-/** Ranks, on average over many batches, that may be left without the order after these rounds. */
+/** Mean number of ranks that may still be without the order after these rounds. */
 const TOLERATED_MISSED_RANKS = 0.2;
 const MAXIMUM_ROUNDS = 5;
 
--- a/packages/group-leader/src/order-throttle.test.ts
+++ b/packages/group-leader/src/order-throttle.test.ts
@@ -9,9 +9,9 @@
   order: { kind: RankOrderKind.Prepare, epoch: 1, version: 7, map: { sets: [] } },
 };
 
-it('repeats an order that got no answer at once, and one that was taken only after a while', () => {
-  // A third of the orders is lost for some seconds. A map comes into force when the last rank has
-  // prepared it; half a second for each order that was lost kept the old map for 2.7 and 3.5 s,
+it('permits a resend at once after an unanswered order, and only after a while otherwise', () => {
+  // A third of the orders is lost for some seconds. A map becomes active only once the last rank
+  // has prepared it; waiting half a second for each lost order kept the old map for 2.7 and 3.5 s,
   // and every stream was late.
   const clock = { now: 0 };
   const throttle = createOrderThrottle(() => clock.now);
--- a/packages/group-leader/src/order-throttle.ts
+++ b/packages/group-leader/src/order-throttle.ts
@@ -1,21 +1,22 @@
 /**
- * Keeps a leader from giving the same order to the same rank again before it can have taken
- * effect: orders are repeated until reports show them, and a look comes every few milliseconds.
+ * Limits how often a leader sends the same order to the same rank. Orders are repeated until
+ * reports show their effect, and the leader evaluates reports every few milliseconds, sooner than
+ * an order can take effect.
  */
 import { RankOrderKind } from '@lapisbridge/placement';
 import type { AddressedOrder } from '@lapisbridge/placement';
 
 export interface OrderThrottle {
-  /** Whether the order may go out now; it then counts as given. */
+  /** Whether the order may be sent now. If so, the order counts as sent. */
   tryAcquire(addressed: AddressedOrder): boolean;
-  /** The order got no answer: it may be lost, and is due again at once. */
+  /** Permits an immediate resend of an order that was not answered and may be lost. */
   markUnanswered(addressed: AddressedOrder): void;
   reset(): void;
 }
 
-/** Pauses before the same order goes to the same rank again. */
+/** Minimum time between two sends of the same order to the same rank. */
 const RESEND_INTERVAL_MILLISECONDS: Readonly<Record<RankOrderKind, number>> = {
-  // A copy of a few experts takes some hundred milliseconds.
+  // Loading a few experts takes some hundred milliseconds.
   [RankOrderKind.Prepare]: 500,
   [RankOrderKind.Arm]: 60,
   [RankOrderKind.Disarm]: 60,
--- a/packages/group-leader/src/pack-map.ts
+++ b/packages/group-leader/src/pack-map.ts
@@ -1,7 +1,7 @@
 /**
- * A group's map packed for its way to the ranks. Every rank is sent the whole map, and as plain
- * JSON the maps for 63 ranks take a small instance's link for a second, in which all streams
- * are late; packed they take a third of that.
+ * Compact encoding of a group's map. Every rank receives the whole map: as plain JSON, the maps for
+ * 63 ranks occupy a small instance's link for a second, during which all streams are late. Encoded,
+ * they take a third of that.
  */
 import { createHash } from 'node:crypto';
 
@@ -9,19 +9,19 @@
 
 export interface PackedMap {
   readonly ranks: number;
-  /** Bytes for each expert. */
+  /** Bytes per number. */
   readonly width: number;
-  /** For each set, base64 of each rank's number of experts followed by these. */
+  /** For each set, base64 of each rank's number of experts followed by those experts. */
   readonly sets: readonly string[];
 }
 
-/** A map told as what differs from one that the receiver has. */
+/** A map encoded as its differences from a base map that the receiver has. */
 export interface PackedMapDelta {
   readonly baseVersion: number;
-  /** Of the whole map that comes out. */
+  /** Digest of the complete resulting map. */
   readonly digest: string;
   readonly width: number;
-  /** For each set, base64 of each changed rank, its number of experts, and these. */
+  /** For each set, base64 of each changed rank, its number of experts, and those experts. */
   readonly sets: readonly string[];
 }
 
@@ -72,7 +72,10 @@
     .digest('base64');
 }
 
-/** About 100 loads change a third of the places: 1.7 KB instead of 4.2 for 63 ranks and 8 sets. */
+/**
+ * A change of about 100 experts affects a third of the places: 1.7 KB instead of 4.2 KB for 63
+ * ranks and 8 sets.
+ */
 export function packMapDelta(base: GroupMap, baseVersion: number, map: GroupMap): PackedMapDelta {
   const width = widthOf(map);
   const sets = map.sets.map(({ experts }, set) => {
@@ -87,9 +90,9 @@
 }
 
 /**
- * Undefined where the bytes are not changes of that map. A leader that took over may have put
- * the map in force together from what it could see, and a rank whose map came out different
- * would bring two maps into one pass; so what comes out is checked against the digest.
+ * Undefined when the delta does not apply to the base map. A new leader may have reconstructed the
+ * active map from incomplete information, and a rank that computed a different map from the delta
+ * would bring two maps into one pass. The result is therefore checked against the digest.
  */
 export function unpackMapDelta(base: GroupMap, packed: PackedMapDelta): GroupMap | undefined {
   if (packed.sets.length !== base.sets.length) return undefined;
@@ -110,7 +113,7 @@
   return digestOf({ sets }) === packed.digest ? { sets } : undefined;
 }
 
-/** Undefined where the bytes are not those of a map for that many ranks. */
+/** Undefined when the bytes do not encode a map for that many ranks. */
 export function unpackMap(packed: PackedMap): GroupMap | undefined {
   const sets: GroupMap['sets'][number][] = [];
   for (const text of packed.sets) {
--- a/packages/group-leader/src/pass-duration.ts
+++ b/packages/group-leader/src/pass-duration.ts
@@ -1,15 +1,15 @@
 /**
- * How long a pass of the group takes, from the passes counted over some tenths of a second.
+ * Estimates the duration of a pass of the group from its progress over a few tenths of a second.
  */
 export interface PassDurationEstimator {
   observe(step: number): void;
-  /** Of late; the usual time of an idle group when nothing was counted. */
+  /** Recent average; a default while no pass was observed, as in an idle group. */
   averageMilliseconds(): number;
 }
 
-/** Span over which passes are counted. */
+/** Time over which passes are counted. */
 const WINDOW_MILLISECONDS = 400;
-/** Time of a pass where none were seen: a few steps of some milliseconds each. */
+/** Assumed duration of a pass while none was observed: a few steps of some milliseconds each. */
 const DEFAULT_PASS_MILLISECONDS = 40;
 
 interface Sample {
@@ -23,7 +23,7 @@
     observe(step) {
       const at = now();
       const last = samples.at(-1);
-      // Counting begins anew with each forming of the group.
+      // Steps are counted from zero when the group forms again.
       if (last !== undefined && step < last.step) samples = [];
       samples.push({ at, step });
       while ((samples[1]?.at ?? Infinity) < at - WINDOW_MILLISECONDS) samples.shift();
--- a/packages/group-leader/src/reporting-intervals.ts
+++ b/packages/group-leader/src/plan-pace.ts
@@ -1,35 +1,40 @@
 /**
- * How often a sidecar tells whom, by the size of its group. In a large group the counts of each
- * availability zone are summed by an entry before they cross to the leader, whose link would
- * otherwise carry nothing else. Pure.
+ * Reporting intervals of a sidecar, by the size of its group. In a large group an entry of each
+ * availability zone sums the counts of its ranks before they are sent to the leader, whose link
+ * they would otherwise saturate. Pure.
  */
 export interface ReportingIntervals {
-  /** Reads of the rank's own report, in milliseconds. */
+  /** Between reads of the rank's own report from its engine. */
   readonly reportMilliseconds: number;
-  /** The same while the group has nothing to do. */
+  /** Between reads of the rank's own report while the group is idle. */
   readonly idleReportMilliseconds: number;
-  /** To each entry that wants every report, in milliseconds. */
+  /** Between reports to each entry that subscribed to every report. */
   readonly entryReportMilliseconds: number;
-  /** Growth of the counts, in milliseconds. */
+  /** Between reads of the rank's expert counts. */
   readonly countsMilliseconds: number;
-  /** From a leader to the other ranks, in milliseconds. */
+  /** Between heartbeats from a leader to each of the other ranks. */
   readonly heartbeatMilliseconds: number;
-  /** Whether counts go through an entry of the zone instead of straight to the leader. */
+  /**
+   * Whether count deltas are sent through an entry of the zone instead of directly to the leader.
+   */
   readonly areCountsRelayed: boolean;
 }
 
-/** Groups from this size on have their counts relayed. */
+/** Groups of at least this many ranks send their counts through entries. */
 const LARGE_GROUP_RANKS = 32;
 const REPORT_MILLISECONDS = 100;
-/** Of a large group's many ranks some read at any moment, so a broken group is noticed as soon. */
+/**
+ * Longer than in a small group: the many ranks read at different moments, so that a broken group is
+ * detected just as early.
+ */
 const LARGE_GROUP_REPORT_MILLISECONDS = 200;
 const LARGE_GROUP_IDLE_REPORT_MILLISECONDS = 400;
 const ENTRY_REPORT_MILLISECONDS = 160;
 const LARGE_GROUP_ENTRY_REPORT_MILLISECONDS = 200;
-/** While a shift of the demand is not noticed every stream is late. */
+/** Short, because every stream of the group is slow until a shift in expert demand is detected. */
 const COUNTS_MILLISECONDS = 100;
 const LARGE_GROUP_COUNTS_MILLISECONDS = 400;
-/** A leader sends about 400 heartbeats a second at most. */
+/** Limits a leader to about 400 heartbeats per second. */
 const HEARTBEAT_MILLISECONDS_PER_RANK = 2.5;
 
 export function planReportingIntervals(groupSize: number): ReportingIntervals {
--- a/packages/group-leader/src/prepare-batcher.ts
+++ b/packages/group-leader/src/prepare-batcher.ts
@@ -1,11 +1,13 @@
 /**
- * Gathers the orders to prepare that are given in one go into one batch for each entry that
- * passes them on.
+ * Batches the prepare orders that are sent in one iteration, one batch per forwarding entry.
  */
 import type { OrderOutcome } from '@lapisbridge/placement';
 
 export interface PrepareBatcher<Prepare> {
-  /** Outcome of the order at the sidecar's host. Rejects when the batch could not be passed on. */
+  /**
+   * Adds an order for the sidecar at `host` and resolves with its outcome. Rejects when the batch
+   * could not be forwarded.
+   */
   add(entry: string, host: string, prepare: Prepare): Promise<OrderOutcome>;
 }
 
@@ -15,7 +17,10 @@
   readonly outcomes: Promise<ReadonlyMap<string, OrderOutcome>>;
 }
 
-/** `pass` is called once a batch is complete. */
+/**
+ * `sendBatch` is called once per complete batch. `missingOutcome` is the outcome of a host for
+ * which it returns none.
+ */
 export function createPrepareBatcher<Prepare>(
   sendBatch: (
     entry: string,
@@ -28,7 +33,8 @@
 
   function openBatch(entry: string, prepare: Prepare): Batch<Prepare> {
     const hosts: string[] = [];
-    // Orders of one look are given synchronously, so all are in the batch by the next microtask.
+    // Orders of one iteration are added synchronously, so the batch is complete at the next
+    // microtask.
     const outcomes = Promise.resolve().then(() => {
       openBatches.delete(entry);
       return sendBatch(entry, hosts, prepare);
--- a/packages/group-leader/src/prepare-forwarding.test.ts
+++ b/packages/group-leader/src/prepare-forwarding.test.ts
@@ -37,7 +37,9 @@
   }
 });
 
-/** An entry that passes orders on. Returns its port and counts what it was asked. */
+/**
+ * Starts an entry that forwards orders. Returns its port and the number of requests it received.
+ */
 async function startEntry(
   isAnswering: boolean,
 ): Promise<{ port: number; requestCount: () => number }> {
@@ -64,7 +66,9 @@
 
 const sidecarHost = (rank: number): string => `127.0.0.${rank + 10}`;
 
-/** Sidecars at the entry's port; returns the versions that each rank took. */
+/**
+ * Starts sidecars at the entry's port. Returns the map versions that each rank's engine received.
+ */
 async function startSidecars(port: number): Promise<number[][]> {
   const receivedVersions: number[][] = Array.from({ length: RANKS }, () => []);
   for (let rank = 0; rank < RANKS; rank += 1) {
@@ -122,9 +126,9 @@
   return Promise.all(outcomes);
 }
 
-it('gives an order to prepare to a zone once, whatever the number of its ranks', async () => {
-  // Guards against a leader whose link carries a map to each of 129 ranks for seconds: its
-  // heartbeats do not get out, another rank takes over, and no map is ever in force.
+it('sends a prepare order once per zone, whatever the number of its ranks', async () => {
+  // Guards against a leader whose link is occupied for seconds with sending a map to each of 129
+  // ranks: its heartbeats are not sent, another rank takes over, and no map ever becomes active.
   const entry = await startEntry(true);
   const receivedVersions = await startSidecars(entry.port);
   expect(await prepareAll(entry.port)).toEqual(Array(RANKS).fill(OrderOutcome.Accepted));
@@ -132,8 +136,8 @@
   expect(receivedVersions).toEqual(Array(RANKS).fill([5]));
 });
 
-it('gives the order to each rank itself where the zone’s entry does not pass it on', async () => {
-  // Guards against a group that keeps its first map because one entry has died.
+it('sends the order to each rank directly when the entry of the zone does not forward it', async () => {
+  // Guards against a group that stays on its initial map because one entry has failed.
   const entry = await startEntry(false);
   const receivedVersions = await startSidecars(entry.port);
   expect(await prepareAll(entry.port)).toEqual(Array(RANKS).fill(OrderOutcome.Accepted));
--- a/packages/group-leader/src/prepare-forwarding.ts
+++ b/packages/group-leader/src/prepare-forwarding.ts
@@ -1,8 +1,9 @@
 /**
- * Orders to prepare a map, sent once to an entry of each availability zone, which passes them on
- * to the sidecars of its zone. A map for more than a hundred ranks is some kilobytes for each of
- * them; sent by the leader alone they keep its narrow link busy for seconds, its heartbeats do not
- * get out, and another rank takes over before any map is in force.
+ * Forwarding of prepare orders: the leader sends an order once to an entry of each availability
+ * zone, which forwards it to the sidecars of its zone. A map for more than a hundred ranks takes
+ * several kilobytes per rank. Sent to each rank by the leader alone, they saturate its narrow link
+ * for seconds; its heartbeats are not sent, and another rank takes over before any map becomes
+ * active.
  */
 import type { Agent } from 'node:http';
 
@@ -12,9 +13,9 @@
 
 import { RelayPath } from './relay-path.js';
 
-/** From the leader to the entry and on to the last sidecar of the zone. */
+/** Timeout from the leader through the entry to the last sidecar of the zone. */
 const BATCH_TIMEOUT_MILLISECONDS = 1000;
-/** From the entry to one sidecar. */
+/** Timeout from the entry to one sidecar. */
 const SIDECAR_TIMEOUT_MILLISECONDS = 700;
 const OUTCOMES: readonly string[] = Object.values(OrderOutcome);
 
@@ -22,7 +23,10 @@
   return OUTCOMES.includes(String(value)) ? (value as OrderOutcome) : OrderOutcome.Unknown;
 }
 
-/** An entry's part: passes the order on and says what came of it, by host. */
+/**
+ * Entry side: forwards the order to all hosts of the batch and returns `{ outcomes }`, keyed by
+ * host. Returns an empty object when the body is not a batch.
+ */
 export async function forwardPrepare(body: JsonObject): Promise<JsonObject> {
   const { prepare } = body;
   const port = numberOf(body, 'sidecarPort');
@@ -60,7 +64,10 @@
   readonly prepare: object;
 }
 
-/** The leader's part. Rejects when the entry does not answer in time. */
+/**
+ * Leader side: sends a batch to an entry. Returns an outcome for every host of the batch. Rejects
+ * when the entry does not answer in time.
+ */
 export async function requestPrepareForwarding(
   entry: { readonly host: string; readonly port: number },
   batch: PrepareBatch,
--- a/packages/group-leader/src/rank-client.test.ts
+++ b/packages/group-leader/src/rank-client.test.ts
@@ -7,10 +7,10 @@
 import { createRankClient } from './rank-client.js';
 import type { RankEngine } from './rank-client.js';
 
-it('asks a rank directly, and does not wait for its frozen sidecar a second time', async () => {
-  // A machine freezes with a sidecar on it while a hold stands. Its successor asks all ranks
-  // several times before it may release the group; each wait for the frozen one keeps every
-  // stream of the group from going on.
+it('calls a rank directly, and does not wait for its frozen sidecar a second time', async () => {
+  // Guards against a group that stays held: the leader's machine freezes while a hold is set, and
+  // its successor queries all ranks several times before it may release the group. Each wait for
+  // the frozen sidecar delays every stream.
   let callCount = 0;
   const frozen = createServer(() => {
     callCount += 1;
@@ -57,9 +57,9 @@
   frozen.close();
 });
 
-it('does not ask a rank whose host was found silent', async () => {
-  // A leader replaces one that stopped with its machine. It would wait for that rank with every
-  // question, and under a hold all streams of the group wait with it.
+it('does not call a rank whose host is marked unreachable', async () => {
+  // Guards against waiting in every round for the rank of a leader that stopped together with its
+  // machine. Under a hold, all streams of the group wait as well.
   let callCount = 0;
   const count = async (): Promise<undefined> => {
     callCount += 1;
--- a/packages/group-leader/src/rank-client.ts
+++ b/packages/group-leader/src/rank-client.ts
@@ -1,9 +1,9 @@
 /**
- * How a leader reaches the ranks of its group. Each rank's sidecar passes questions and orders
- * to prepare on to the backend server beside it, and refuses those of a leader that was
- * replaced. Orders that hold, arm or release go to the backend server directly: a sidecar that
- * freezes between the two would leave the group held. Where a sidecar does not answer, the
- * backend server is called directly too.
+ * Client with which a leader calls the ranks of its group. Each rank's sidecar relays queries and
+ * prepare orders to the backend server beside it, and refuses those of a superseded leader. Hold,
+ * arm and release orders go directly to the backend server, because a sidecar that freezes while
+ * relaying one would leave the group held. When a sidecar does not answer, the backend server is
+ * called directly as well.
  */
 import { Agent } from 'node:http';
 
@@ -23,19 +23,22 @@
   readonly port: number;
 }
 
-/** Maps that one rank holds: for each set, its experts. */
+/** Experts that one rank holds, by set. */
 export interface RankMap {
   readonly version: number;
   readonly experts: readonly (readonly number[])[];
 }
 
-/** How often each expert was chosen by this rank's requests, set after set. */
+/**
+ * How often this rank's requests selected each expert, set after set. Counted since the rank
+ * started.
+ */
 export interface RankCounts {
   readonly epoch: number;
   readonly counts: readonly number[];
 }
 
-/** The engine of one rank, reached at its address. Rejects when no answer came. */
+/** Calls the engine of a rank at its address. Rejects when no answer arrives. */
 export interface RankEngine {
   report(address: RankAddress): Promise<RankReport | undefined>;
   counts(address: RankAddress): Promise<RankCounts | undefined>;
@@ -43,7 +46,7 @@
   order(address: RankAddress, order: RankOrder): Promise<OrderOutcome>;
 }
 
-/** A map in force. */
+/** A map with its version. */
 export interface VersionedMap {
   readonly version: number;
   readonly map: GroupMap;
@@ -52,14 +55,17 @@
 export interface LeaderOrder {
   readonly fencingNumber: number;
   readonly order: RankOrder;
-  /** The map in force, which the ranks' sidecars are likely to know. */
+  /**
+   * The active map, which the ranks' sidecars probably know. Prepare orders are sent as differences
+   * from it.
+   */
   readonly base: VersionedMap;
 }
 
 export interface RankTarget {
   readonly sidecar: RankAddress;
   readonly backendServer: RankAddress;
-  /** Entry of the rank's zone that passes orders to prepare on; undefined in a small group. */
+  /** Entry of the rank's zone that forwards prepare orders; undefined in a small group. */
   readonly entry?: RankAddress | undefined;
 }
 
@@ -67,18 +73,18 @@
   report(target: RankTarget): Promise<RankReport | undefined>;
   map(target: RankTarget): Promise<RankMap | undefined>;
   order(target: RankTarget, relayed: LeaderOrder): Promise<OrderOutcome>;
-  /** Does not wait for a host that was found silent, for a while. */
+  /** Skips all calls to a host that was found unresponsive, for 500 ms. */
   markUnreachable(host: string): void;
 }
 
 type PrepareOrder = Extract<RankOrder, { kind: RankOrderKind.Prepare }>;
 
-/** A leader's order to prepare, on its way to a rank's sidecar. */
+/** Body of a prepare order on its way to a rank's sidecar. */
 export interface PrepareMessage {
   readonly fence: number;
   readonly epoch: number;
   readonly version: number;
-  /** Whole, or as changes where the sidecar is likely to know the map in force. */
+  /** Either the complete map, or its changes when the sidecar probably knows the base map. */
   readonly map?: PackedMap;
   readonly changes?: PackedMapDelta;
 }
@@ -88,7 +94,7 @@
   readonly order: PrepareOrder;
 }
 
-/** Undefined where the body is no order to prepare, or its base is not known. */
+/** Undefined when the body is not a prepare order, or when its base map is not known. */
 export function decodePrepare(
   body: JsonObject,
   findMap: (version: number) => GroupMap | undefined,
@@ -102,7 +108,10 @@
   return { fencingNumber, order: { kind: RankOrderKind.Prepare, epoch, version, map } };
 }
 
-/** Written by our own kind; whatever does not unpack is refused. */
+/**
+ * Only instances of this program send these messages, so only the outer structure is validated; a
+ * map that cannot be unpacked is rejected.
+ */
 function decodeMap(
   { map, changes }: JsonObject,
   findMap: (version: number) => GroupMap | undefined,
@@ -114,39 +123,46 @@
   return base === undefined ? undefined : unpackMapDelta(base, packed);
 }
 
-/** A relayed call crosses a zone twice and waits for the engine: some ten milliseconds. */
+/**
+ * Timeout of a relayed call. It crosses a zone twice and waits for the engine, which takes some ten
+ * milliseconds.
+ */
 const RELAY_TIMEOUT_MILLISECONDS = 180;
 /**
- * The same for an order to prepare. Maps for 63 ranks take 0.4 s on a small instance's link; a
- * leader that gives up sooner sends the last of them again and again.
+ * Timeout of a prepare order. Maps for 63 ranks take 0.4 s on a small instance's link; with a
+ * shorter timeout a leader would send the last of them again and again.
  */
 const PREPARE_TIMEOUT_MILLISECONDS = 1000;
-/** A rank that did not answer is not waited for again at once: the others go on meanwhile. */
+/** A rank that did not answer is skipped for this long, so that the other ranks can proceed. */
 const UNREACHABLE_BACKOFF_MILLISECONDS = 500;
 /**
- * A sidecar that did not answer is passed over for this long. Its machine may be frozen, and a
- * leader that waits for it with every question holds a group 0.7 s longer.
+ * A sidecar that did not answer is bypassed for this long. Its machine may be frozen, and a leader
+ * that waits for it in every round holds a group 0.7 s longer.
  */
 const UNRESPONSIVE_SIDECAR_BACKOFF_MILLISECONDS = 500;
 
-/** All ranks are sent the same map: it is packed once. */
+/**
+ * The last target map in its encoded forms. All ranks receive the same map, so it is encoded once.
+ */
 interface PackedTarget {
   readonly target: GroupMap;
   readonly map: PackedMap;
   readonly changes: PackedMapDelta;
-  /** The order with changes, the same object for all ranks. */
+  /** The order as a delta. The same object for all ranks, which the batcher relies on. */
   readonly prepare: PrepareMessage;
 }
 
 export interface RankClientOptions {
   readonly engine: RankEngine;
-  /** Asks a sidecar for a fresh report by datagram; undefined when no answer came in time. */
+  /**
+   * Requests a fresh report from a sidecar by datagram; undefined when no answer arrived in time.
+   */
   requestReport(sidecar: RankAddress): Promise<RankReport | undefined>;
   now(): number;
 }
 
 export function createRankClient({ engine, requestReport, now }: RankClientOptions): RankClient {
-  // All ranks are asked several times in a rollout, and a new connection each time would take
+  // All ranks are called several times in a rollout; opening a connection for each call would take
   // the leader longer than the answers do.
   const keepAliveAgent = new Agent({ keepAlive: true });
   const unreachableUntil = new Map<string, number>();
@@ -168,11 +184,15 @@
         body === undefined ? RELAY_TIMEOUT_MILLISECONDS : PREPARE_TIMEOUT_MILLISECONDS,
       agent: keepAliveAgent,
     });
-    if (answer.status !== 200) throw new Error(`the sidecar answered ${answer.status}`);
+    if (answer.status !== 200)
+      throw new Error(`unexpected status ${answer.status} from the sidecar`);
     return answer.body as T;
   }
 
-  /** Through the rank's sidecar, or straight to its backend server where that is silent. */
+  /**
+   * Calls the rank through its sidecar, or its backend server directly when the sidecar is
+   * unresponsive.
+   */
   async function callWithFallback<T>(
     target: RankTarget,
     relayed: () => Promise<T>,
@@ -220,7 +240,10 @@
     );
   }, OrderOutcome.Unknown);
 
-  /** Through the entry of the rank's zone; undefined where the rank must be reached itself. */
+  /**
+   * Forwards through the entry of the rank's zone. Undefined when the order has to be sent to the
+   * rank itself.
+   */
   async function forwardThroughEntry(
     target: RankTarget,
     prepare: PrepareMessage,
@@ -250,7 +273,7 @@
       relay(target, 'POST', RelayPath.Prepare, body);
     const { outcome } = await send({ fence: fencingNumber, epoch, version, changes });
     if (outcome !== OrderOutcome.Refused) return outcome;
-    // The sidecar does not know the map in force, or the rank refuses any map.
+    // Either the sidecar does not know the base map, or the rank refuses any map.
     return (await send({ fence: fencingNumber, epoch, version, map })).outcome;
   }
 
@@ -303,8 +326,8 @@
 }
 
 /**
- * Asks the sidecar at an address for its fencing number; undefined when it does not lead. Rejects
- * when no answer came.
+ * Queries the fencing number of the sidecar at an address; undefined when it does not lead. Rejects
+ * when no answer arrives.
  */
 export async function queryLeader(address: RankAddress): Promise<number | undefined> {
   const answer = await callJson({
--- a/packages/group-leader/src/relay-listener.test.ts
+++ b/packages/group-leader/src/relay-listener.test.ts
@@ -42,7 +42,7 @@
   listener.close();
 });
 
-/** A sidecar that passes orders on to an engine which takes them all. */
+/** Starts a sidecar in front of an engine that accepts every order. */
 async function startSidecar(
   knowsFirst: boolean,
 ): Promise<{ order: typeof order; orders: RankOrder[] }> {
@@ -90,10 +90,11 @@
   return { order, orders };
 }
 
-describe('an order to prepare', () => {
-  it('reaches the engine whole, whether the sidecar knows the map in force or not', async () => {
-    // A sidecar that has just started knows no map; one that has not may know another map by the
-    // version that a leader put together. Each has to prepare the very map that was ordered.
+describe('prepare order', () => {
+  it('reaches the engine as the complete map, whether or not the sidecar knows the active map', async () => {
+    // A sidecar that has just started knows no map, and one that has been running may know another
+    // map under the version of a map that a leader reconstructed. Each must prepare exactly the
+    // ordered map.
     for (const knowsFirst of [true, false]) {
       const { order, orders } = await startSidecar(knowsFirst);
       const first = { version: 0, map: FIRST };
@@ -107,7 +108,7 @@
     }
   });
 
-  it('of a leader that was replaced goes no further', async () => {
+  it('is refused when it comes from a superseded leader', async () => {
     const { order, orders } = await startSidecar(true);
     expect(await order(4, 7, SECOND, { version: 0, map: FIRST })).toBe(OrderOutcome.Fenced);
     expect(orders).toEqual([]);
--- a/packages/group-leader/src/relay-listener.ts
+++ b/packages/group-leader/src/relay-listener.ts
@@ -1,7 +1,7 @@
 /**
- * A sidecar's door for the leader of its group: passes orders and questions on to the backend
- * server beside it. An order of a leader that was replaced is refused here, so that two leaders
- * never steer one rank by turns.
+ * HTTP listener of a sidecar for the leader of its group: relays orders and queries to the backend
+ * server beside it. Orders of a superseded leader are refused here, so that two leaders never
+ * control one rank alternately.
  */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server } from 'node:http';
@@ -19,11 +19,11 @@
   readonly backendServer: RankAddress;
   readonly engine: RankEngine;
   readonly logger: Logger;
-  /** The map that the group has after it formed, version 0; undefined where it is not known yet. */
+  /** The map of a newly formed group (version 0); undefined until it is known. */
   initialGroupMap(): GroupMap | undefined;
-  /** Takes note of a leader's fencing number; false when a higher one is known. */
+  /** Records a leader's fencing number; false when a higher one is known. */
   acceptFencingNumber(fencingNumber: number): boolean;
-  /** Fencing number while this sidecar leads. */
+  /** Fencing number of this sidecar while it leads its group. */
   ownFencingNumber(): number | undefined;
 }
 
@@ -34,15 +34,15 @@
 
 export interface RankRelay {
   /**
-   * The answer to a call of a leader, to be encoded as JSON; undefined where there is no such path.
-   * Rejects when the backend server does not answer a question.
+   * Handles a leader's call and returns the response body, to be encoded as JSON; undefined for an
+   * unknown path. Rejects when the backend server does not answer a query.
    */
   handle(path: string | undefined, body: Buffer): Promise<unknown>;
 }
 
-/** Longer than the pause between two rollouts mostly is. */
+/** Longer than the usual pause between two rollouts. */
 const KEEP_ALIVE_TIMEOUT_MILLISECONDS = 30_000;
-/** The map in force, the one being prepared, and one that was given up. */
+/** The active map, the one being prepared, and one that was abandoned. */
 const REMEMBERED_MAPS = 3;
 const MAXIMUM_ORDER_BYTES = 4 * 1024 * 1024;
 
@@ -52,7 +52,7 @@
     let size = 0;
     incoming.on('data', (chunk: Buffer) => {
       size += chunk.length;
-      if (size > MAXIMUM_ORDER_BYTES) incoming.destroy(new Error('order too large'));
+      if (size > MAXIMUM_ORDER_BYTES) incoming.destroy(new Error('order exceeds the maximum size'));
       else chunks.push(chunk);
     });
     incoming.on('end', () => resolve(Buffer.concat(chunks)));
@@ -68,7 +68,7 @@
     return version === 0 ? options.initialGroupMap() : knownMaps.get(version);
   }
 
-  /** Later maps are told as what differs from this one. */
+  /** Stores a map as the base for later map deltas. */
   function remember(version: number, map: GroupMap): void {
     knownMaps.set(version, map);
     const oldest = Math.min(...knownMaps.keys());
@@ -111,7 +111,7 @@
   };
 }
 
-/** Starts listening; the server is closed with the process. */
+/** Starts listening. The server stays open until the process ends. */
 export function startRelayListener(options: RelayListenerOptions): Server {
   const { logger } = options;
   const relay = createRankRelay(options);
--- a/packages/group-leader/src/relay-path.ts
+++ b/packages/group-leader/src/relay-path.ts
@@ -1,10 +1,12 @@
-/** Paths at which sidecars, and entries that pass orders on, take calls of a group's leader. */
+/**
+ * HTTP paths at which sidecars, and entries that forward prepare orders, serve a group's leader.
+ */
 export enum RelayPath {
   Prepare = '/rank/prepare',
   Report = '/rank/report',
   Map = '/rank/map',
-  /** Fencing number of the leader here, if it leads. */
+  /** Fencing number of this sidecar while it leads its group. */
   Leader = '/rank/leader',
-  /** At an entry: an order to prepare, for several sidecars of its zone. */
+  /** At an entry: a prepare order for several sidecars of its zone. */
   ForwardPrepare = '/rank/pass-on-prepare',
 }
--- a/packages/group-leader/src/report-requests.ts
+++ b/packages/group-leader/src/report-requests.ts
@@ -1,28 +1,28 @@
 /**
- * Fresh reports of other ranks, asked for and answered by datagram. A leader reads all ranks
- * several times in a rollout; by HTTP that took it 60 ms each time with 63 ranks, most of it
- * its own processor time, and the old map stayed in force for as long.
+ * Requests fresh reports of other ranks by datagram. A leader reads all ranks several times in a
+ * rollout; by HTTP each round took 60 ms with 63 ranks, mostly the leader's own processor time, and
+ * the old map stayed active for that much longer.
  */
 import type { RankReport } from '@lapisbridge/placement';
 
 export interface ReportRequests {
-  /** Undefined when no answer came in time. */
+  /** Resolves with undefined when no answer arrived in time. */
   requestReport(host: string): Promise<RankReport | undefined>;
-  /** Takes the answer to a question. */
+  /** Resolves the request with this identifier; late and unknown answers are ignored. */
   onAnswer(questionId: number, report: RankReport): void;
 }
 
 /**
- * An answer takes two hops of some milliseconds and a read of the engine; a datagram that was
- * lost is not waited for much longer, since the rank can be asked by HTTP then.
+ * An answer takes two network hops of a few milliseconds and a read from the engine. The timeout is
+ * only little longer than that, since a rank whose datagram was lost can be asked by HTTP.
  */
 const ANSWER_TIMEOUT_MILLISECONDS = 60;
 
 export interface ReportRequestsOptions {
   readonly ownHost: string;
-  /** A fresh report of the rank beside this sidecar, which gets no datagrams of its own. */
+  /** A fresh report of the rank beside this sidecar, which does not send datagrams to itself. */
   ownReport(): Promise<RankReport | undefined>;
-  /** Puts a question to the sidecar at a host; false where none is known there. */
+  /** Sends a request to the sidecar at a host; false when none is known there. */
   send(host: string, questionId: number): boolean;
 }
 
--- a/packages/group-leader/src/settle-without-stragglers.ts
+++ b/packages/group-leader/src/settle-without-stragglers.ts
@@ -1,14 +1,16 @@
 /**
- * Waits for a batch of answers, and no longer for those that are far later than the others: under a
- * hold every stream of a group waits for the last of its ranks, and an order that got no answer can
- * be given again long before its call times out.
+ * Waits for a batch of answers, but not for stragglers: under a hold every stream of a group waits
+ * for the slowest rank, and an unanswered order can be sent again long before its call times out.
  */
 
-/** Longest wait for the first answer of a batch, and from one answer to the next. */
+/** Longest wait for the first answer of a batch, and then from one answer to the next. */
 const FIRST_ANSWER_TIMEOUT_MILLISECONDS = 100;
 const NEXT_ANSWER_TIMEOUT_MILLISECONDS = 30;
 
-/** Resolves with an answer for each call, in their order; `missing` stands for those that are late. */
+/**
+ * Resolves with one answer per call, in the order of the calls; `fallback` stands for answers that
+ * did not arrive in time. Rejects when a call rejects.
+ */
 export function settleWithoutStragglers<Answer>(
   calls: readonly Promise<Answer>[],
   fallback: Answer,
@@ -27,7 +29,7 @@
       clearTimeout(timer);
       const before = pendingCount;
       timer = setTimeout(() => {
-        // A process that stood still has answers to read first.
+        // After this process was suspended, answers that have already arrived must be read first.
         setImmediate(() => {
           if (pendingCount === before) finish();
         });
--- a/packages/group-sidecar/src/hold-watchdog.test.ts
+++ b/packages/group-sidecar/src/hold-watchdog.test.ts
@@ -65,8 +65,8 @@
   await scene.watchdog.onReport(scene.report);
 }
 
-describe('a hold that keeps the group', () => {
-  it('is ended with its map void, where nothing is armed', async () => {
+describe('hold that keeps the group waiting', () => {
+  it('is released after its map was voided, when no map is armed', async () => {
     const scene = createScene();
     await advance(scene, 0);
     expect(scene.orders).toEqual([]);
@@ -76,7 +76,7 @@
     expect(release).toEqual({ kind: RankOrderKind.Release, epoch: 4, step: 105 });
   });
 
-  it('is not ended while the map cannot be made void', async () => {
+  it('is not released while its map cannot be voided', async () => {
     const scene = createScene();
     scene.outcome = OrderOutcome.Refused;
     await advance(scene, 0);
@@ -86,7 +86,7 @@
     expect(kinds).toEqual([RankOrderKind.Prepare, RankOrderKind.Prepare]);
   });
 
-  it('is waited at anew when another one follows', async () => {
+  it('is timed separately from the hold before it', async () => {
     const scene = createScene();
     await advance(scene, 0);
     await advance(scene, 200);
@@ -96,7 +96,7 @@
     expect(scene.orders).toEqual([]);
   });
 
-  it('is voided by a map that the engine takes', async () => {
+  it('is voided with a map that the engine accepts', async () => {
     const scene = createScene();
     await advance(scene, 0);
     await advance(scene, 300);
--- a/packages/group-sidecar/src/hold-watchdog.ts
+++ b/packages/group-sidecar/src/hold-watchdog.ts
@@ -1,6 +1,7 @@
 /**
- * Ends a hold at the rank beside this sidecar that keeps the group waiting, without its leader,
- * which may have stopped. `planHoldEnd` decides; here are the orders, the clock and the log.
+ * Watchdog for holds at the rank beside this sidecar: ends a hold that keeps the group waiting,
+ * without the group's leader, which may have stopped. `planHoldEnd` decides; this module adds
+ * orders, timing and logging.
  */
 import { createPlaceholderMap } from '@lapisbridge/group-leader';
 import type { GroupProfile, RankAddress, RankEngine } from '@lapisbridge/group-leader';
@@ -23,7 +24,9 @@
 }
 
 export interface HoldWatchdog {
-  /** Takes a fresh report of the rank, and settles when the orders it led to are answered. */
+  /**
+   * Evaluates a fresh report of the rank. Resolves when the resulting orders have been answered.
+   */
   onReport(report: RankReport): Promise<void>;
 }
 
@@ -57,7 +60,7 @@
     return outcome;
   }
 
-  /** Replaces the prepared map by the one in force, so that the rank cannot be armed any more. */
+  /** Replaces the prepared map with the active one, so that the rank can no longer be armed. */
   async function replacePreparedMap(report: RankReport, version: number): Promise<OrderOutcome> {
     const { epoch, rank, size } = report;
     const profile = options.profile();
--- a/packages/group-sidecar/src/index.ts
+++ b/packages/group-sidecar/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The sidecar program, for any platform whose adapters it is given.
+ * The sidecar program, independent of the platform: it receives the platform's adapters.
  */
 export { startGroupSidecar } from './start-sidecar.js';
 export type { SidecarAdapters } from './start-sidecar.js';
--- a/packages/group-sidecar/src/rank-member.ts
+++ b/packages/group-sidecar/src/rank-member.ts
@@ -1,6 +1,6 @@
 /**
- * One rank's part in its group: reports to entries, sends what its requests chose towards the
- * group's leader, and leads the group while this sidecar holds its row.
+ * Participation of one rank in its group: reports to entries, sends expert counts towards the
+ * group's leader, and leads the group while this sidecar is named in the group's row.
  */
 import { createDatagramLink, createSidecarFleet, InstanceRole } from '@lapisbridge/fleet';
 import type { RankState, SentCount } from '@lapisbridge/fleet';
@@ -44,7 +44,7 @@
 export interface RankMember {
   /** Last report of the rank; undefined while its backend server does not answer. */
   report(): RankReport | undefined;
-  /** The map of a group that has just formed; undefined until its engines' limits are known. */
+  /** Map of a newly formed group; undefined until the profile of its engines is known. */
   initialGroupMap(): GroupMap | undefined;
   /** Datagrams sent, by kind. */
   sentDatagrams(): ReadonlyMap<string, SentCount>;
@@ -52,7 +52,7 @@
   stop(): void;
 }
 
-/** Windows of the demand for experts: what maps are planned for, and what shows a shift. */
+/** Demand windows: the longer one to plan maps from, the shorter one to detect shifts. */
 const DEMAND_WINDOW_MILLISECONDS = 900;
 const RECENT_DEMAND_WINDOW_MILLISECONDS = 250;
 
@@ -72,7 +72,8 @@
     logger,
     now,
     isLeading: () => leadership.fencingNumber() !== undefined,
-    // Entries send to a lost group, or reject callers of one that is back, until they hear.
+    // Until entries are informed, they send requests to a broken group, or reject callers of one
+    // that has formed again.
     onOpenChanged: () => fleet.reportNow(),
     onCountDelta,
     onReport: (report) => holdWatchdog.onReport(report),
@@ -173,28 +174,31 @@
     recentDemand.add(delta);
   }
 
-  /** What was chosen since the last look goes to the leader at once: a shift makes streams late. */
+  /**
+   * Count deltas are sent to the leader at once, because streams are late until a shift is handled.
+   */
   function onCountDelta(delta: CountDelta): void {
     if (leadership.fencingNumber() === undefined)
       fleet.tellGrowth(quantizeCountDelta(delta, random));
     else if (observer.report()?.isOpen === true) addCountDelta(delta);
   }
 
-  /** Reads a fresh report for the leader that asks. */
+  /** Answers a leader's question with a fresh report. */
   async function answerReportQuestion(to: string, question: number): Promise<void> {
     try {
       await observer.refresh();
       const report = observer.report();
       if (report !== undefined) fleet.answer(to, question, report);
     } catch (thrown) {
-      // The leader asks by HTTP next, and is told there that the rank does not answer.
-      logger.debug('no report to answer with', { reason: String(thrown) });
+      // Without an answer the leader asks by HTTP next, and learns there that the rank does not
+      // answer.
+      logger.debug('report question not answered', { reason: String(thrown) });
     }
   }
 
   function tick(): void {
     const fencingNumber = leadership.fencingNumber();
-    // A new leader is told where the ranks are by the entries that hear of it.
+    // Entries that learn of a new leader send it the addresses of the ranks.
     if (fencingNumber !== undefined && fencingNumber !== reportedFencingNumber) fleet.reportNow();
     reportedFencingNumber = fencingNumber;
     timer = setTimeout(tick, fleet.tick());
--- a/packages/group-sidecar/src/rank-observer.ts
+++ b/packages/group-sidecar/src/rank-observer.ts
@@ -1,6 +1,6 @@
 /**
- * Watches the backend server beside this sidecar: its state several times a second, and what
- * its requests chose at the pace that the leader can read.
+ * Polls the backend server beside this sidecar: its state several times a second, and its expert
+ * counts at the rate that the leader can process.
  */
 import { createCountDeltaTracker, planReportingIntervals } from '@lapisbridge/group-leader';
 import type { CountDelta, RankAddress, RankEngine } from '@lapisbridge/group-leader';
@@ -12,26 +12,29 @@
   readonly backendServer: RankAddress;
   readonly logger: Logger;
   now(): number;
-  /** Whether this sidecar leads its group, and so must follow the passes closely. */
+  /** Whether this sidecar leads its group, and therefore has to poll it more often. */
   isLeading(): boolean;
-  /** The group was lost or is back, as this rank sees it. */
+  /** Called when the rank's group broke or formed again, according to the rank's reports. */
   onOpenChanged(): void;
   onCountDelta(growth: CountDelta): void;
-  /** A report was read when it was due. */
+  /** Called after each scheduled read of a report. */
   onReport(report: RankReport): Promise<void>;
 }
 
 export interface RankObserver {
-  /** Undefined while the backend server does not answer. */
+  /** Last report; undefined while the backend server does not answer. */
   report(): RankReport | undefined;
   /** Reads a fresh report. Rejects when the backend server does not answer. */
   refresh(): Promise<void>;
   start(): void;
 }
 
-/** Between two reads while the backend server does not answer, or while this sidecar leads. */
+/** Poll interval while the backend server does not answer, or while this sidecar leads. */
 const FAST_POLL_MILLISECONDS = 100;
-/** The same while a hold stands here, which must not keep the group for long. */
+/**
+ * Poll interval while a hold is set at this rank. Short, because a hold must not keep the group
+ * waiting for long.
+ */
 const HELD_POLL_MILLISECONDS = 25;
 
 export function createRankObserver(options: RankObserverOptions): RankObserver {
@@ -39,7 +42,7 @@
   const deltaTracker = createCountDeltaTracker();
   let lastReport: RankReport | undefined;
   let countedAt = -Infinity;
-  /** Pass of the last counts: without a pass nothing was chosen. */
+  /** Step of the last counts. Without a new pass no expert was selected. */
   let countedStep = -1;
 
   async function refresh(): Promise<void> {
@@ -52,7 +55,8 @@
   async function readCounts(): Promise<void> {
     if (lastReport === undefined) return;
     const { countsMilliseconds, reportMilliseconds } = planReportingIntervals(lastReport.size);
-    // Counts are read right after a report, so without slack each pause would grow by one of these.
+    // Counts are read right after a report. Without this slack each interval would grow by up to
+    // one report interval.
     if (
       now() - countedAt < countsMilliseconds - reportMilliseconds / 2 ||
       lastReport.step === countedStep
@@ -82,7 +86,8 @@
       if (lastReport !== undefined) await options.onReport(lastReport);
       await readCounts();
     } catch (thrown) {
-      if (lastReport !== undefined) logger.info('backend server lost', { reason: String(thrown) });
+      if (lastReport !== undefined)
+        logger.info('backend server does not answer', { reason: String(thrown) });
       lastReport = undefined;
     }
     setTimeout(() => void observe(), nextPollDelay(before));
--- a/packages/group-sidecar/src/simulated-engines.ts
+++ b/packages/group-sidecar/src/simulated-engines.ts
@@ -1,6 +1,6 @@
 /**
- * A lock-step group's engines in simulated time, for tests: they make one pass after the other,
- * carry out orders, and check that all ranks begin each pass with one map. Time is that of the
+ * Simulated engines of a lock-step group, for tests. They run one pass after the other, execute
+ * orders, and check that all ranks start each pass with the same map. Time is that of the (fake)
  * timers.
  */
 import { OrderOutcome, RankOrderKind } from '@lapisbridge/placement';
@@ -8,15 +8,21 @@
 
 export interface SimulatedEngines {
   report(rank: number): RankReport;
-  /** Experts that a rank holds, set after set. */
+  /** Experts that a rank holds, by set. */
   experts(rank: number): readonly (readonly number[])[];
   order(rank: number, order: RankOrder): OrderOutcome;
-  /** Makes passes from now on. */
+  /** Starts running passes. */
   start(): void;
   stop(): void;
-  /** Longest time from the begin of a pass to that of the next, in milliseconds, since a time. */
+  /**
+   * Longest time from the start of one pass to the start of the next, in milliseconds, since
+   * `since`.
+   */
   longestPauseMilliseconds(since: number): number;
-  /** Versions that differed as a pass began; undefined while there were none. */
+  /**
+   * Active versions of the ranks when a pass first started with differing ones; undefined
+   * otherwise.
+   */
   mixedVersions(): readonly number[] | undefined;
 }
 
@@ -31,7 +37,7 @@
 const GROUP = 'group';
 const EPOCH = 1;
 const PASS_MILLISECONDS = 60;
-/** Time to load experts that are new to a rank. */
+/** Time to load experts that the rank does not hold yet. */
 const LOAD_MILLISECONDS = 150;
 
 export function createSimulatedEngines(
--- a/packages/group-sidecar/src/simulated-group.ts
+++ b/packages/group-sidecar/src/simulated-group.ts
@@ -1,7 +1,7 @@
 /**
- * The sidecars of one group in simulated time, for tests: the program's own parts, joined by a
- * network and a store that delay. Machines stop and go on: calls and datagrams to and from a
- * stopped one wait until then, as do its own.
+ * Simulated sidecars of one group, for tests: the program's own modules, connected by a network and
+ * a store with delays. Machines can be stopped and resumed: calls and datagrams to and from a
+ * stopped machine wait until it resumes.
  */
 import { createEntryFleet, InstanceRole } from '@lapisbridge/fleet';
 import type {
@@ -40,7 +40,7 @@
 export interface SimulatedGroupOptions {
   readonly seed: number;
   readonly ranks: number;
-  /** An engine has carried out an order. */
+  /** Called when an engine has accepted an order. */
   onOrder?(rank: number, order: RankOrder): void;
 }
 
@@ -48,14 +48,14 @@
   readonly engines: SimulatedEngines;
   start(): Promise<void>;
   end(): void;
-  /** Rank whose sidecar leads and is not stopped. */
+  /** Rank of the leader, if its machine is not stopped. */
   leader(): number | undefined;
-  /** Lets the demand ask the leader for another map. */
+  /** Makes the leader's map planner return a new map. */
   requestMap(): void;
-  /** Stops a rank's machine: its sidecar and its engine. */
+  /** Stops a rank's machine, with its sidecar and its engine. */
   stop(rank: number): void;
   resume(rank: number): void;
-  /** What the sidecars' parts reach the network by; a test puts them in place of the real ones. */
+  /** Replacements for the modules through which sidecars reach the network, for a test to mock. */
   readonly network: SimulatedNetwork;
 }
 
@@ -63,7 +63,7 @@
   call(call: JsonCall): Promise<JsonAnswer>;
   createDatagramLink(options: DatagramLinkOptions): DatagramLink;
   createMapPlanner(): MapPlanner;
-  /** The calls of a leader wait while its machine stands still. */
+  /** Delays the calls of a leader while its machine is stopped. */
   wrapRankClient(engine: RankEngine, link: RankClient): RankClient;
 }
 
@@ -72,13 +72,13 @@
 const SIDECAR_PORT = 90;
 const ENGINE_PORT = 80;
 const ENTRY_HOST = 'entry-host';
-/** One way between two machines. */
+/** One-way latency between two machines. */
 const HOP_MILLISECONDS = 4;
 const STORE_MILLISECONDS = 20;
 const ENGINE_TIMEOUT_MILLISECONDS = 180;
 
 interface Machine {
-  /** Settles as the machine goes on; undefined while it runs. */
+  /** `isOver` settles when the machine resumes. Undefined while the machine runs. */
   stopped: { readonly isOver: Promise<void>; end(): void } | undefined;
 }
 
@@ -104,7 +104,7 @@
 const hostOf = (rank: number): string => `host-${rank}`;
 const rankOf = (host: string): number => Number(host.slice(hostOf(0).length - 1));
 
-/** Rows under a condition. */
+/** A store with conditional writes. */
 function createSimulatedStore(): Store {
   const rows = new Map<string, StoreRow>();
   let revision = 1;
@@ -148,7 +148,9 @@
     while (machine?.stopped !== undefined) await machine.stopped.isOver;
   }
 
-  /** From one machine to the other and back, with what happens there in between. */
+  /**
+   * Runs `act` at another machine, with the latency there and back; waits while either is stopped.
+   */
   async function callAcross<T>(from: string, to: string, act: () => T | Promise<T>): Promise<T> {
     await untilRunning(from);
     if (from !== to) await sleep(HOP_MILLISECONDS);
@@ -347,7 +349,7 @@
     },
     requestMap() {
       variant += 1;
-      // Neither of the two experts that the rank has in the first map.
+      // An expert that is neither of the two that the rank holds in the initial map.
       const offset = 1 + (variant % (ranks - 1));
       const sets = initialMap.sets.map(({ experts }) => ({
         experts: experts.map((held, rank) => [...held, (rank + offset) % PROFILE.experts]),
--- a/packages/group-sidecar/src/start-sidecar.ts
+++ b/packages/group-sidecar/src/start-sidecar.ts
@@ -1,6 +1,6 @@
 /**
- * The sidecar program: tells entries the load of the backend server beside it, and tends that
- * server's part in its lock-step group.
+ * The sidecar program: reports the load of the backend server beside it to the entries, and manages
+ * that server as a rank of its lock-step group.
  */
 import type { Store } from '@lapisbridge/catalog';
 import { queryLeader, createLeadership, startRelayListener } from '@lapisbridge/group-leader';
@@ -15,7 +15,7 @@
 
 export interface SidecarAdapters {
   readonly engine: RankEngine;
-  /** `timeoutMilliseconds` is for one call. */
+  /** `timeoutMilliseconds` applies to each call. */
   createStore(options: RankAddress & { readonly timeoutMilliseconds: number }): Store;
 }
 
@@ -49,7 +49,7 @@
     logger.warn('metrics not served', { reason: error.message });
   });
   if (backendServerAddress === undefined) {
-    logger.warn('nothing to tend', { reason: 'the settings name no backend server' });
+    logger.warn('sidecar has no backend server', { reason: 'the settings name no backend server' });
     endOnSignal(life, async () => undefined);
     return;
   }
--- a/packages/group-sidecar/src/stopped-leader.test.ts
+++ b/packages/group-sidecar/src/stopped-leader.test.ts
@@ -33,9 +33,12 @@
 });
 
 const RANKS = 6;
-/** Longer than a group may pause while one machine stands still. */
+/** Time for which one machine is stopped; longer than a group may pause because of it. */
 const STOP_MILLISECONDS = 4000;
-/** Callers leave a stream after 2 s without an event, and a moved one has to be read anew. */
+/**
+ * Callers leave a stream after 2 s without an event, and a stream that moves needs its prompt
+ * processed again.
+ */
 const LONGEST_PAUSE_MILLISECONDS = 600;
 
 let group: SimulatedGroup | undefined;
@@ -52,25 +55,25 @@
 
 interface StopPoint {
   readonly kind: RankOrderKind;
-  /** Orders of that kind that have been carried out. */
+  /** Number of orders of that kind that have been executed. */
   readonly count: number;
   readonly delayMilliseconds: number;
-  /** Time before the rollout, which decides how long before the stop the leader was heard last. */
+  /** Time before the rollout. Determines how long before the stop the last heartbeat was sent. */
   readonly settleMilliseconds: number;
 }
 
 interface Outcome {
-  /** Longest time between two passes while the machine stands still. */
+  /** Longest time between two passes while the machine is stopped. */
   readonly pauseMilliseconds: number;
-  /** The same once it goes on. */
+  /** Longest time between two passes after the machine has resumed. */
   readonly laterPauseMilliseconds: number;
-  /** Versions that differed as a pass began. */
+  /** Active versions of the ranks when a pass started with differing ones. */
   readonly mixedVersions: readonly number[] | undefined;
-  /** Maps in force when the machine has gone on and another map was wanted. */
+  /** Active versions after the machine has resumed and another map was requested. */
   readonly versions: ReadonlySet<number>;
 }
 
-/** Stops the leader's machine in the course of a rollout, and lets it go on later. */
+/** Stops the leader's machine in the course of a rollout, and resumes it later. */
 async function stopLeader({
   kind,
   count,
@@ -135,19 +138,19 @@
   );
 }
 
-describe('a group whose leader stops in a rollout', () => {
+describe('group whose leader stops during a rollout', () => {
   const points: readonly StopPoint[] = [
-    // Nothing is armed.
+    // No rank is armed.
     ...pointsAt(RankOrderKind.Hold, 1, [0, 5, 10]),
-    // The rank that holds is armed, and no other.
+    // Only the rank that holds the group is armed.
     ...pointsAt(RankOrderKind.Arm, 1, [0, 3]),
-    // All are armed, and the release is on its way.
+    // All ranks are armed, and the release is in transit.
     ...pointsAt(RankOrderKind.Arm, 2, [5, 10, 20]),
     ...pointsAt(RankOrderKind.Release, 1, [0, 10]),
   ];
 
   it.each(points)(
-    'goes on: $kind $count, after $delayMilliseconds ms, of $settleMilliseconds',
+    'continues: $kind $count, stopped after $delayMilliseconds ms, rollout at $settleMilliseconds ms',
     async (point) => {
       const outcome = await stopLeader(point);
       expect(outcome.mixedVersions).toBeUndefined();
@@ -158,14 +161,14 @@
     },
   );
 
-  // All others are armed, and only its own rank can tell whether it is too.
+  // All other ranks are armed, and only the leader's own rank can tell whether it is armed too.
   const unknown: readonly StopPoint[] = [
     ...pointsAt(RankOrderKind.Arm, 1, [5, 10]),
     ...pointsAt(RankOrderKind.Arm, 2, [0, 3]),
   ];
 
   it.each(unknown)(
-    'keeps one map, and goes on with the machine: $kind $count, after $delayMilliseconds ms, of $settleMilliseconds',
+    'keeps one map, and continues once the machine resumes: $kind $count, stopped after $delayMilliseconds ms, rollout at $settleMilliseconds ms',
     async (point) => {
       const outcome = await stopLeader(point);
       expect(outcome.mixedVersions).toBeUndefined();
