--- a/packages/group-leader/src/demand.ts
+++ b/packages/group-leader/src/demand.ts
@@ -1,27 +1,35 @@
 /**
- * How much each expert is in demand, from the counts that the ranks keep since they started.
- * Recent choices weigh most, since demand moves within seconds.
+ * Estimates the demand for each expert from the count deltas of all ranks. Counts decay
+ * exponentially, because demand shifts within seconds.
  */
 import type { ExpertLoad } from '@lapisbridge/placement';
 
-import type { CountGrowth } from './count-growth.js';
+import type { CountDelta } from './count-delta.js';
 
-export interface Demand {
-  /** Takes what a rank's counts grew by. */
-  add(growth: CountGrowth): void;
-  /** Loads of each set, given how much slower than usual each rank is. */
-  loads(sets: number, paces: readonly number[]): ExpertLoad[];
-  /** Choices in the window, over all experts. */
-  total(): number;
-  /** Forgets what came before: the demand has shifted, and the old one would blur the new. */
-  restart(): void;
-  /** Milliseconds since the window was last empty. */
-  age(): number;
+export interface DemandWindow {
+  /** Adds the count delta of one rank. Deltas of an earlier epoch are ignored. */
+  add(delta: CountDelta): void;
+  /**
+   * Load of each expert set. A slowdown factor of 2 means that the rank takes twice its usual time.
+   */
+  loads(sets: number, slowdownFactors: readonly number[]): ExpertLoad[];
+  /** Sum of the decayed selections of all experts. */
+  totalChoices(): number;
+  /**
+   * Clears the window after a shift in demand, so that earlier selections do not distort the new
+   * estimate.
+   */
+  reset(): void;
+  /** Time since the window was created or last reset. */
+  ageMilliseconds(): number;
 }
 
-/** `windowMilliseconds` is the age at which a choice counts for about a third. */
-export function createDemand(windowMilliseconds: number, now: () => number): Demand {
-  let window: number[] = [];
+/**
+ * `windowMilliseconds` is the time constant of the decay: after it a selection has 37% of its
+ * weight.
+ */
+export function createDemandWindow(windowMilliseconds: number, now: () => number): DemandWindow {
+  let decayedCounts: number[] = [];
   let decayedAt = now();
   let startedAt = now();
   let epoch: number | undefined;
@@ -30,44 +38,46 @@
     const at = now();
     const factor = Math.exp((decayedAt - at) / windowMilliseconds);
     decayedAt = at;
-    for (let index = 0; index < window.length; index += 1) {
-      window[index] = (window[index] ?? 0) * factor;
+    for (let index = 0; index < decayedCounts.length; index += 1) {
+      decayedCounts[index] = (decayedCounts[index] ?? 0) * factor;
     }
   }
 
   return {
-    add(growth) {
-      if (epoch !== undefined && growth.epoch < epoch) return;
-      if (growth.epoch !== epoch) {
-        // The group has formed anew. While it stood still nothing was chosen, so what was in
-        // demand before is the best guess, and not older by that time.
-        epoch = growth.epoch;
+    add(delta) {
+      if (epoch !== undefined && delta.epoch < epoch) return;
+      if (delta.epoch !== epoch) {
+        // The group has formed again. Nothing was selected while it was stopped, so the earlier
+        // demand is still the best estimate and does not decay for that time.
+        epoch = delta.epoch;
         decayedAt = now();
       }
-      if (window.length !== growth.counts.length) {
-        window = new Array<number>(growth.counts.length).fill(0);
+      if (decayedCounts.length !== delta.counts.length) {
+        decayedCounts = new Array<number>(delta.counts.length).fill(0);
       }
       decay();
-      for (const [index, count] of growth.counts.entries()) {
-        window[index] = (window[index] ?? 0) + count;
+      for (const [index, count] of delta.counts.entries()) {
+        decayedCounts[index] = (decayedCounts[index] ?? 0) + count;
       }
     },
-    loads(sets, paces) {
-      const experts = Math.floor(window.length / Math.max(1, sets));
-      const speeds = paces.map((pace) => 1 / Math.max(1, pace));
+    loads(sets, slowdownFactors) {
+      const experts = Math.floor(decayedCounts.length / Math.max(1, sets));
+      const speeds = slowdownFactors.map((factor) => 1 / Math.max(1, factor));
       const loads: ExpertLoad[] = [];
       for (let set = 0; set < sets; set += 1) {
-        // An expert that was not chosen may be next: no expert counts as nothing.
-        const tokens = window.slice(set * experts, (set + 1) * experts).map((count) => count + 1);
+        // An expert that was not selected yet may be selected next, so no expert has zero load.
+        const tokens = decayedCounts
+          .slice(set * experts, (set + 1) * experts)
+          .map((count) => count + 1);
         loads.push({ tokens, speeds });
       }
       return loads;
     },
-    total: () => window.reduce((sum, count) => sum + count, 0),
-    restart() {
-      window.fill(0);
+    totalChoices: () => decayedCounts.reduce((sum, count) => sum + count, 0),
+    reset() {
+      decayedCounts.fill(0);
       startedAt = now();
     },
-    age: () => now() - startedAt,
+    ageMilliseconds: () => now() - startedAt,
   };
 }
--- a/packages/group-leader/src/index.ts
+++ b/packages/group-leader/src/index.ts
@@ -1,35 +1,39 @@
 /**
- * One lock-step group: who leads it, what its experts' demand is, and how new maps come into
- * force.
+ * Leader of one lock-step group: election, expert demand, and rollout of expert maps.
  */
-export { createGrowthMeter, decodeGrowth, packGrowth, unpackGrowth } from './count-growth.js';
-export type { CountGrowth, GrowthMeter, PackedGrowth } from './count-growth.js';
-export { completeMap } from './compose-map.js';
-export { createDemand } from './demand.js';
-export type { Demand } from './demand.js';
-export { firstMap } from './first-map.js';
+export {
+  createCountDeltaTracker,
+  decodeCountDelta,
+  quantizeCountDelta,
+  dequantizeCountDelta,
+} from './count-delta.js';
+export type { CountDelta, CountDeltaTracker, QuantizedCountDelta } from './count-delta.js';
+export { createPlaceholderMap } from './compose-map.js';
+export { createDemandWindow } from './demand.js';
+export type { DemandWindow } from './demand.js';
+export { initialGroupMap } from './initial-group-map.js';
 export { createGroupLeader } from './group-leader.js';
-export { createDemandWatch } from './demand-watch.js';
-export type { DemandWatch, DemandWatchOptions, GroupProfile } from './demand-watch.js';
+export { createMapPlanner } from './map-planner.js';
+export type { MapPlanner, MapPlannerOptions, GroupProfile } from './map-planner.js';
 export type { GroupLeader, GroupLeaderOptions, RankOverview } from './group-leader.js';
 export { createLeadership } from './leadership.js';
 export type { Leadership, LeadershipOptions } from './leadership.js';
-export { planPace } from './plan-pace.js';
-export type { TellingPace } from './plan-pace.js';
-export { createReportQuestions } from './report-questions.js';
-export type { ReportQuestions } from './report-questions.js';
-export { passOnPrepare } from './prepare-relay.js';
+export { planReportingIntervals } from './plan-pace.js';
+export type { ReportingIntervals } from './plan-pace.js';
+export { createReportRequests } from './report-requests.js';
+export type { ReportRequests } from './report-requests.js';
+export { forwardPrepare } from './prepare-forwarding.js';
 export { RelayPath } from './relay-path.js';
-export { askLeader, createRankLink } from './rank-link.js';
+export { queryLeader, createRankClient } from './rank-client.js';
 export type {
   RankAddress,
   RankCounts,
   RankEngine,
-  RankLink,
-  RankLinkOptions,
+  RankClient,
+  RankClientOptions,
   RankMap,
   RankTarget,
   VersionedMap,
-} from './rank-link.js';
+} from './rank-client.js';
 export { createRankRelay, startRelayListener } from './relay-listener.js';
 export type { RankRelay, RankRelayOptions, RelayListenerOptions } from './relay-listener.js';
--- a/packages/group-leader/src/order-losses.ts
+++ b/packages/group-leader/src/order-losses.ts
@@ -1,45 +1,52 @@
 /**
- * How many orders got no answer of late, and how many times an order must be expected to be given
- * until all ranks have it. A hold is planned so far ahead that the group does not reach it before.
+ * Estimates the recent loss rate of orders and, from it, how many times an order has to be sent
+ * until all ranks have it. A hold is planned that far ahead, so that the group does not reach its
+ * step before every rank is ready.
  */
-export interface OrderLosses {
-  note(given: number, unanswered: number): void;
-  /** Times that one order goes out until most likely every rank has taken it; 1 without losses. */
-  rounds(ranks: number): number;
+export interface OrderLossEstimator {
+  record(sent: number, unanswered: number): void;
+  /**
+   * Expected number of sends until most likely every rank has accepted an order; 1 without losses.
+   */
+  expectedRounds(ranks: number): number;
 }
 
-/** Age at which an order counts for about a third. */
-const WINDOW_MILLISECONDS = 6000;
-/** Below this share losses are chance: a whole round for them would keep the old map for longer. */
-const FEWEST_LOST_SHARE = 0.02;
-/** Ranks, on average over many batches, that may be left without the order after these rounds. */
-const LEFT_RANKS = 0.2;
-const MOST_ROUNDS = 5;
+/** Time constant of the decay: after it an order has 37% of its weight. */
+const DECAY_MILLISECONDS = 6000;
+/**
+ * Losses below this ratio are treated as chance, because planning another round for them would keep
+ * the old map active for longer.
+ */
+const MINIMUM_LOSS_RATIO = 0.02;
+/** Mean number of ranks that may still be without the order after these rounds. */
+const TOLERATED_MISSED_RANKS = 0.2;
+const MAXIMUM_ROUNDS = 5;
 
-export function createOrderLosses(now: () => number): OrderLosses {
-  let given = 0;
+export function createLossEstimator(now: () => number): OrderLossEstimator {
+  let sent = 0;
   let unanswered = 0;
-  let at = now();
+  let decayedAt = now();
 
   function decay(): void {
-    const factor = Math.exp((at - now()) / WINDOW_MILLISECONDS);
-    at = now();
-    given *= factor;
+    const factor = Math.exp((decayedAt - now()) / DECAY_MILLISECONDS);
+    decayedAt = now();
+    sent *= factor;
     unanswered *= factor;
   }
 
   return {
-    note(givenNow, unansweredNow) {
+    record(newSent, newUnanswered) {
       decay();
-      given += givenNow;
-      unanswered += unansweredNow;
+      sent += newSent;
+      unanswered += newUnanswered;
     },
-    rounds(ranks) {
+    expectedRounds(ranks) {
       decay();
-      const share = given === 0 ? 0 : unanswered / given;
-      if (share < FEWEST_LOST_SHARE) return 1;
-      const rounds = Math.log(ranks / LEFT_RANKS) / Math.log(1 / Math.min(share, 0.9));
-      return Math.min(MOST_ROUNDS, Math.max(1, Math.ceil(rounds)));
+      const lossRatio = sent === 0 ? 0 : unanswered / sent;
+      if (lossRatio < MINIMUM_LOSS_RATIO) return 1;
+      const expectedRounds =
+        Math.log(ranks / TOLERATED_MISSED_RANKS) / Math.log(1 / Math.min(lossRatio, 0.9));
+      return Math.min(MAXIMUM_ROUNDS, Math.max(1, Math.ceil(expectedRounds)));
     },
   };
 }
--- a/packages/group-leader/src/plan-pace.ts
+++ b/packages/group-leader/src/plan-pace.ts
@@ -1,55 +1,63 @@
 /**
- * How often a sidecar tells whom, by the size of its group. In a large group the counts of each
- * availability zone are summed by an entry before they cross to the leader, whose link would
- * otherwise carry nothing else. Pure.
+ * Reporting intervals of a sidecar, by the size of its group. In a large group an entry of each
+ * availability zone sums the counts of its ranks before they are sent to the leader, whose link
+ * they would otherwise saturate. Pure.
  */
-export interface TellingPace {
-  /** Reads of the rank's own report, in milliseconds. */
-  readonly report: number;
-  /** The same while the group has nothing to do. */
-  readonly idleReport: number;
-  /** To each entry that wants every report, in milliseconds. */
-  readonly beat: number;
-  /** Growth of the counts, in milliseconds. */
-  readonly counts: number;
-  /** From a leader to the other ranks, in milliseconds. */
-  readonly heartbeat: number;
-  /** Whether counts go through an entry of the zone instead of straight to the leader. */
-  readonly isGrowthRelayed: boolean;
+export interface ReportingIntervals {
+  /** Between reads of the rank's own report from its engine. */
+  readonly reportMilliseconds: number;
+  /** Between reads of the rank's own report while the group is idle. */
+  readonly idleReportMilliseconds: number;
+  /** Between reports to each entry that subscribed to every report. */
+  readonly entryReportMilliseconds: number;
+  /** Between reads of the rank's expert counts. */
+  readonly countsMilliseconds: number;
+  /** Between heartbeats from a leader to each of the other ranks. */
+  readonly heartbeatMilliseconds: number;
+  /**
+   * Whether count deltas are sent through an entry of the zone instead of directly to the leader.
+   */
+  readonly areCountsRelayed: boolean;
 }
 
-/** Groups from this size on have their counts relayed. */
+/** Groups of at least this many ranks send their counts through entries. */
 const LARGE_GROUP_RANKS = 32;
 const REPORT_MILLISECONDS = 100;
-/** Of a large group's many ranks some read at any moment, so a broken group is noticed as soon. */
+/**
+ * Longer than in a small group: the many ranks read at different moments, so that a broken group is
+ * detected just as early.
+ */
 const LARGE_GROUP_REPORT_MILLISECONDS = 200;
 const LARGE_GROUP_IDLE_REPORT_MILLISECONDS = 400;
-const BEAT_MILLISECONDS = 160;
-const LARGE_GROUP_BEAT_MILLISECONDS = 200;
-/** While a shift of the demand is not noticed every stream is late. */
+const ENTRY_REPORT_MILLISECONDS = 160;
+const LARGE_GROUP_ENTRY_REPORT_MILLISECONDS = 200;
+/** Short, because every stream of the group is slow until a shift in expert demand is detected. */
 const COUNTS_MILLISECONDS = 100;
 const LARGE_GROUP_COUNTS_MILLISECONDS = 400;
-/** A leader sends about 400 heartbeats a second at most. */
+/** Limits a leader to about 400 heartbeats per second. */
 const HEARTBEAT_MILLISECONDS_PER_RANK = 2.5;
 
-export function planPace(groupSize: number): TellingPace {
-  const heartbeat = Math.max(BEAT_MILLISECONDS, groupSize * HEARTBEAT_MILLISECONDS_PER_RANK);
+export function planReportingIntervals(groupSize: number): ReportingIntervals {
+  const heartbeatMilliseconds = Math.max(
+    ENTRY_REPORT_MILLISECONDS,
+    groupSize * HEARTBEAT_MILLISECONDS_PER_RANK,
+  );
   if (groupSize < LARGE_GROUP_RANKS) {
     return {
-      report: REPORT_MILLISECONDS,
-      idleReport: REPORT_MILLISECONDS,
-      beat: BEAT_MILLISECONDS,
-      counts: COUNTS_MILLISECONDS,
-      heartbeat,
-      isGrowthRelayed: false,
+      reportMilliseconds: REPORT_MILLISECONDS,
+      idleReportMilliseconds: REPORT_MILLISECONDS,
+      entryReportMilliseconds: ENTRY_REPORT_MILLISECONDS,
+      countsMilliseconds: COUNTS_MILLISECONDS,
+      heartbeatMilliseconds,
+      areCountsRelayed: false,
     };
   }
   return {
-    report: LARGE_GROUP_REPORT_MILLISECONDS,
-    idleReport: LARGE_GROUP_IDLE_REPORT_MILLISECONDS,
-    beat: LARGE_GROUP_BEAT_MILLISECONDS,
-    counts: LARGE_GROUP_COUNTS_MILLISECONDS,
-    heartbeat,
-    isGrowthRelayed: true,
+    reportMilliseconds: LARGE_GROUP_REPORT_MILLISECONDS,
+    idleReportMilliseconds: LARGE_GROUP_IDLE_REPORT_MILLISECONDS,
+    entryReportMilliseconds: LARGE_GROUP_ENTRY_REPORT_MILLISECONDS,
+    countsMilliseconds: LARGE_GROUP_COUNTS_MILLISECONDS,
+    heartbeatMilliseconds,
+    areCountsRelayed: true,
   };
 }
--- a/packages/group-leader/src/prepare-relay.ts
+++ b/packages/group-leader/src/prepare-forwarding.ts
@@ -1,8 +1,9 @@
 /**
- * Orders to prepare a map, sent once to an entry of each availability zone, which passes them on
- * to the sidecars of its zone. A map for more than a hundred ranks is some kilobytes for each of
- * them; sent by the leader alone they keep its narrow link busy for seconds, its heartbeats do not
- * get out, and another rank takes over before any map is in force.
+ * Forwarding of prepare orders: the leader sends an order once to an entry of each availability
+ * zone, which forwards it to the sidecars of its zone. A map for more than a hundred ranks takes
+ * several kilobytes per rank. Sent to each rank by the leader alone, they saturate its narrow link
+ * for seconds; its heartbeats are not sent, and another rank takes over before any map becomes
+ * active.
  */
 import type { Agent } from 'node:http';
 
@@ -12,23 +13,26 @@
 
 import { RelayPath } from './relay-path.js';
 
-/** From the leader to the entry and on to the last sidecar of the zone. */
-const RELAYED_MILLISECONDS = 1000;
-/** From the entry to one sidecar. */
-const PASSED_ON_MILLISECONDS = 700;
+/** Timeout from the leader through the entry to the last sidecar of the zone. */
+const BATCH_TIMEOUT_MILLISECONDS = 1000;
+/** Timeout from the entry to one sidecar. */
+const SIDECAR_TIMEOUT_MILLISECONDS = 700;
 const OUTCOMES: readonly string[] = Object.values(OrderOutcome);
 
 function decodeOutcome(value: unknown): OrderOutcome {
   return OUTCOMES.includes(String(value)) ? (value as OrderOutcome) : OrderOutcome.Unknown;
 }
 
-/** An entry's part: passes the order on and says what came of it, by host. */
-export async function passOnPrepare(body: JsonObject): Promise<JsonObject> {
+/**
+ * Entry side: forwards the order to all hosts of the batch and returns `{ outcomes }`, keyed by
+ * host. Returns an empty object when the body is not a batch.
+ */
+export async function forwardPrepare(body: JsonObject): Promise<JsonObject> {
   const { prepare } = body;
   const port = numberOf(body, 'sidecarPort');
   if (!isObject(prepare) || port === undefined) return {};
   const outcomes: Record<string, OrderOutcome> = {};
-  const passedOn: Promise<void>[] = [];
+  const calls: Promise<void>[] = [];
   for (const host of listOf(body, 'hosts')) {
     if (typeof host !== 'string') continue;
     const call = callJson({
@@ -37,9 +41,9 @@
       method: 'POST',
       path: RelayPath.Prepare,
       body: prepare,
-      timeoutMilliseconds: PASSED_ON_MILLISECONDS,
+      timeoutMilliseconds: SIDECAR_TIMEOUT_MILLISECONDS,
     });
-    passedOn.push(
+    calls.push(
       call.then(
         (answer) => {
           outcomes[host] = decodeOutcome(answer.body.outcome);
@@ -50,7 +54,7 @@
       ),
     );
   }
-  await Promise.all(passedOn);
+  await Promise.all(calls);
   return { outcomes };
 }
 
@@ -60,8 +64,11 @@
   readonly prepare: object;
 }
 
-/** The leader's part. Rejects when the entry does not answer in time. */
-export async function askToPassOn(
+/**
+ * Leader side: sends a batch to an entry. Returns an outcome for every host of the batch. Rejects
+ * when the entry does not answer in time.
+ */
+export async function requestPrepareForwarding(
   entry: { readonly host: string; readonly port: number },
   batch: PrepareBatch,
   agent: Agent,
@@ -69,13 +76,13 @@
   const answer = await callJson({
     ...entry,
     method: 'POST',
-    path: RelayPath.PassOnPrepare,
+    path: RelayPath.ForwardPrepare,
     body: batch,
-    timeoutMilliseconds: RELAYED_MILLISECONDS,
+    timeoutMilliseconds: BATCH_TIMEOUT_MILLISECONDS,
     agent,
   });
-  const told = isObject(answer.body.outcomes) ? answer.body.outcomes : {};
+  const reported = isObject(answer.body.outcomes) ? answer.body.outcomes : {};
   const outcomes = new Map<string, OrderOutcome>();
-  for (const host of batch.hosts) outcomes.set(host, decodeOutcome(told[host]));
+  for (const host of batch.hosts) outcomes.set(host, decodeOutcome(reported[host]));
   return outcomes;
 }
--- a/packages/group-leader/src/relay-listener.ts
+++ b/packages/group-leader/src/relay-listener.ts
@@ -1,7 +1,7 @@
 /**
- * A sidecar's door for the leader of its group: passes orders and questions on to the backend
- * server beside it. An order of a leader that was replaced is refused here, so that two leaders
- * never steer one rank by turns.
+ * HTTP listener of a sidecar for the leader of its group: relays orders and queries to the backend
+ * server beside it. Orders of a superseded leader are refused here, so that two leaders never
+ * control one rank alternately.
  */
 import { createServer } from 'node:http';
 import type { IncomingMessage, Server } from 'node:http';
@@ -11,20 +11,20 @@
 import { OrderOutcome } from '@lapisbridge/placement';
 import type { GroupMap } from '@lapisbridge/placement';
 
-import { decodePrepare } from './rank-link.js';
-import type { RankAddress, RankEngine } from './rank-link.js';
+import { decodePrepare } from './rank-client.js';
+import type { RankAddress, RankEngine } from './rank-client.js';
 import { RelayPath } from './relay-path.js';
 
 export interface RankRelayOptions {
   readonly backendServer: RankAddress;
   readonly engine: RankEngine;
   readonly logger: Logger;
-  /** The map that the group has after it formed, version 0; undefined where it is not known yet. */
-  firstMap(): GroupMap | undefined;
-  /** Takes note of a leader's fencing number; false when a higher one is known. */
-  acceptFence(fence: number): boolean;
-  /** Fencing number while this sidecar leads. */
-  ownFence(): number | undefined;
+  /** The map of a newly formed group (version 0); undefined until it is known. */
+  initialGroupMap(): GroupMap | undefined;
+  /** Records a leader's fencing number; false when a higher one is known. */
+  acceptFencingNumber(fencingNumber: number): boolean;
+  /** Fencing number of this sidecar while it leads its group. */
+  ownFencingNumber(): number | undefined;
 }
 
 export interface RelayListenerOptions extends RankRelayOptions {
@@ -34,25 +34,25 @@
 
 export interface RankRelay {
   /**
-   * The answer to a call of a leader, to be encoded as JSON; undefined where there is no such path.
-   * Rejects when the backend server does not answer a question.
+   * Handles a leader's call and returns the response body, to be encoded as JSON; undefined for an
+   * unknown path. Rejects when the backend server does not answer a query.
    */
-  answer(path: string | undefined, body: Buffer): Promise<unknown>;
+  handle(path: string | undefined, body: Buffer): Promise<unknown>;
 }
 
-/** Longer than the pause between two rollouts mostly is. */
-const KEEP_MILLISECONDS = 30_000;
-/** The map in force, the one being prepared, and one that was given up. */
-const KNOWN_MAPS = 3;
+/** Longer than the usual pause between two rollouts. */
+const KEEP_ALIVE_TIMEOUT_MILLISECONDS = 30_000;
+/** The active map, the one being prepared, and one that was abandoned. */
+const REMEMBERED_MAPS = 3;
 const MAXIMUM_ORDER_BYTES = 4 * 1024 * 1024;
 
-function readAll(incoming: IncomingMessage): Promise<Buffer> {
+function readBody(incoming: IncomingMessage): Promise<Buffer> {
   return new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
     let size = 0;
     incoming.on('data', (chunk: Buffer) => {
       size += chunk.length;
-      if (size > MAXIMUM_ORDER_BYTES) incoming.destroy(new Error('order too large'));
+      if (size > MAXIMUM_ORDER_BYTES) incoming.destroy(new Error('order exceeds the maximum size'));
       else chunks.push(chunk);
     });
     incoming.on('end', () => resolve(Buffer.concat(chunks)));
@@ -62,25 +62,25 @@
 
 export function createRankRelay(options: RankRelayOptions): RankRelay {
   const { engine, backendServer, logger } = options;
-  const known = new Map<number, GroupMap>();
+  const knownMaps = new Map<number, GroupMap>();
 
   function findMap(version: number): GroupMap | undefined {
-    return version === 0 ? options.firstMap() : known.get(version);
+    return version === 0 ? options.initialGroupMap() : knownMaps.get(version);
   }
 
-  /** Later maps are told as what differs from this one. */
+  /** Stores a map as the base for later map deltas. */
   function remember(version: number, map: GroupMap): void {
-    known.set(version, map);
-    const oldest = Math.min(...known.keys());
-    if (known.size > KNOWN_MAPS) known.delete(oldest);
+    knownMaps.set(version, map);
+    const oldest = Math.min(...knownMaps.keys());
+    if (knownMaps.size > REMEMBERED_MAPS) knownMaps.delete(oldest);
   }
 
   async function relayPrepare(body: Buffer): Promise<unknown> {
     const prepare = parseObject(body);
     const relayed = prepare === undefined ? undefined : decodePrepare(prepare, findMap);
     if (relayed === undefined) return { outcome: OrderOutcome.Refused };
-    const { fence, order } = relayed;
-    if (!options.acceptFence(fence)) return { outcome: OrderOutcome.Fenced };
+    const { fencingNumber, order } = relayed;
+    if (!options.acceptFencingNumber(fencingNumber)) return { outcome: OrderOutcome.Fenced };
     remember(order.version, order.map);
     const outcome = await engine.order(backendServer, order).catch(() => OrderOutcome.Unknown);
     logger.decision({
@@ -88,13 +88,13 @@
       subject: `map ${order.version}`,
       choice: order.kind,
       reason: outcome,
-      facts: { fence, epoch: order.epoch },
+      facts: { fence: fencingNumber, epoch: order.epoch },
     });
     return { outcome };
   }
 
   return {
-    async answer(path, body) {
+    async handle(path, body) {
       switch (path) {
         case RelayPath.Prepare:
           return relayPrepare(body);
@@ -103,7 +103,7 @@
         case RelayPath.Map:
           return engine.map(backendServer);
         case RelayPath.Leader:
-          return { fence: options.ownFence() };
+          return { fence: options.ownFencingNumber() };
         default:
           return undefined;
       }
@@ -111,13 +111,13 @@
   };
 }
 
-/** Starts listening; the server is closed with the process. */
+/** Starts listening. The server stays open until the process ends. */
 export function startRelayListener(options: RelayListenerOptions): Server {
   const { logger } = options;
   const relay = createRankRelay(options);
   const server = createServer((incoming, response) => {
-    readAll(incoming)
-      .then((received) => relay.answer(incoming.url, received))
+    readBody(incoming)
+      .then((received) => relay.handle(incoming.url, received))
       .then((body) => {
         response.writeHead(body === undefined ? 404 : 200, { 'content-type': 'application/json' });
         response.end(body === undefined ? '' : JSON.stringify(body));
@@ -128,7 +128,7 @@
         response.end();
       });
   });
-  server.keepAliveTimeout = KEEP_MILLISECONDS;
+  server.keepAliveTimeout = KEEP_ALIVE_TIMEOUT_MILLISECONDS;
   server.on('error', (error) => logger.error('relay listener failed', { reason: error.message }));
   server.listen(options.port, options.host);
   return server;
--- a/packages/group-sidecar/src/rank-member.ts
+++ b/packages/group-sidecar/src/rank-member.ts
@@ -1,22 +1,22 @@
 /**
- * One rank's part in its group: reports to entries, sends what its requests chose towards the
- * group's leader, and leads the group while this sidecar holds its row.
+ * Participation of one rank in its group: reports to entries, sends expert counts towards the
+ * group's leader, and leads the group while this sidecar is named in the group's row.
  */
 import { createDatagramLink, createSidecarFleet, InstanceRole } from '@lapisbridge/fleet';
 import type { RankState, SentCount } from '@lapisbridge/fleet';
 import {
-  createDemand,
-  createDemandWatch,
+  createDemandWindow,
+  createMapPlanner,
   createGroupLeader,
-  createRankLink,
-  createReportQuestions,
-  firstMap,
-  packGrowth,
-  planPace,
-  unpackGrowth,
+  createRankClient,
+  createReportRequests,
+  initialGroupMap,
+  quantizeCountDelta,
+  planReportingIntervals,
+  dequantizeCountDelta,
 } from '@lapisbridge/group-leader';
 import type {
-  CountGrowth,
+  CountDelta,
   GroupProfile,
   Leadership,
   RankAddress,
@@ -27,7 +27,7 @@
 import type { GroupMap, RankReport } from '@lapisbridge/placement';
 import type { ProcessSettings } from '@lapisbridge/process-life';
 
-import { createHoldWatch } from './hold-watch.js';
+import { createHoldWatchdog } from './hold-watchdog.js';
 import { createRankObserver } from './rank-observer.js';
 
 export interface RankMemberOptions {
@@ -44,26 +44,26 @@
 export interface RankMember {
   /** Last report of the rank; undefined while its backend server does not answer. */
   report(): RankReport | undefined;
-  /** The map of a group that has just formed; undefined until its engines' limits are known. */
-  firstMap(): GroupMap | undefined;
+  /** Map of a newly formed group; undefined until the profile of its engines is known. */
+  initialGroupMap(): GroupMap | undefined;
   /** Datagrams sent, by kind. */
-  sent(): ReadonlyMap<string, SentCount>;
+  sentDatagrams(): ReadonlyMap<string, SentCount>;
   start(): Promise<void>;
   stop(): void;
 }
 
-/** Windows of the demand for experts: what maps are planned for, and what shows a shift. */
-const DEMAND_MILLISECONDS = 900;
-const RECENT_DEMAND_MILLISECONDS = 250;
+/** Demand windows: the longer one to plan maps from, the shorter one to detect shifts. */
+const DEMAND_WINDOW_MILLISECONDS = 900;
+const RECENT_DEMAND_WINDOW_MILLISECONDS = 250;
 
 export function createRankMember(options: RankMemberOptions): RankMember {
   const { backendServer, engine, leadership, logger, now, random } = options;
   const { instanceId, host, availabilityZone, peerPort, service } = options.settings();
   const self = { instanceId, host, role: InstanceRole.Sidecar, availabilityZone };
-  const demand = createDemand(DEMAND_MILLISECONDS, now);
-  const recentDemand = createDemand(RECENT_DEMAND_MILLISECONDS, now);
+  const demand = createDemandWindow(DEMAND_WINDOW_MILLISECONDS, now);
+  const recentDemand = createDemandWindow(RECENT_DEMAND_WINDOW_MILLISECONDS, now);
   let profile: GroupProfile | undefined;
-  let reportedFence: number | undefined;
+  let reportedFencingNumber: number | undefined;
   let timer: NodeJS.Timeout | undefined;
 
   const observer = createRankObserver({
@@ -71,14 +71,15 @@
     backendServer,
     logger,
     now,
-    isLeading: () => leadership.fence() !== undefined,
-    // Entries send to a lost group, or reject callers of one that is back, until they hear.
+    isLeading: () => leadership.fencingNumber() !== undefined,
+    // Until entries are informed, they send requests to a broken group, or reject callers of one
+    // that has formed again.
     onOpenChanged: () => fleet.reportNow(),
-    onGrowth,
-    onReport: (report) => holdWatch.onReport(report),
+    onCountDelta,
+    onReport: (report) => holdWatchdog.onReport(report),
   });
 
-  const holdWatch = createHoldWatch({
+  const holdWatchdog = createHoldWatchdog({
     engine,
     backendServer,
     logger,
@@ -86,14 +87,14 @@
     profile: () => profile,
   });
 
-  const link = createDatagramLink({
+  const datagramLink = createDatagramLink({
     self,
     port: peerPort,
     logger,
     now,
     onMessage: (from, message) => fleet.receive(from, message),
   });
-  const questions = createReportQuestions({
+  const reportRequests = createReportRequests({
     ownHost: host,
     async ownReport() {
       await observer.refresh();
@@ -110,31 +111,35 @@
     sidecarPort: peerPort,
     seedHosts: () => options.settings().seedHosts,
     state,
-    pace: () => planPace(observer.report()?.size ?? 0),
-    fence: () => leadership.fence(),
+    pace: () => planReportingIntervals(observer.report()?.size ?? 0),
+    fence: () => leadership.fencingNumber(),
     isSettled: () => groupLeader.isSettled(),
     onProfiles(profiles) {
       profile = (service === undefined ? undefined : profiles[service]) ?? profile;
     },
-    onLeader: (fence, isSettled) => leadership.heard(fence, isSettled),
+    onLeader: (fencingNumber, isSettled) => leadership.onLeaderHeartbeat(fencingNumber, isSettled),
     onGrowth(growth) {
-      if (observer.report()?.isOpen === true) addGrowth(unpackGrowth(growth));
+      if (observer.report()?.isOpen === true) addCountDelta(dequantizeCountDelta(growth));
     },
-    onQuestion: (from, question) => void answer(from.host, question),
-    onAnswer: (question, report) => questions.answered(question, report),
-    send: (to, message) => link.send(to, message),
+    onQuestion: (from, question) => void answerReportQuestion(from.host, question),
+    onAnswer: (question, report) => reportRequests.onAnswer(question, report),
+    send: (to, message) => datagramLink.send(to, message),
     now,
   });
 
   const groupLeader = createGroupLeader({
     leadership,
-    link: createRankLink({ engine, ask: (sidecar) => questions.ask(sidecar.host), now }),
-    demandWatch: createDemandWatch({ demand, recentDemand, logger, now }),
+    rankClient: createRankClient({
+      engine,
+      requestReport: (sidecar) => reportRequests.requestReport(sidecar.host),
+      now,
+    }),
+    mapPlanner: createMapPlanner({ demand, recentDemand, logger, now }),
     logger,
     now,
-    own: () => observer.report(),
+    ownReport: () => observer.report(),
     targets,
-    overview: () => fleet.ranks(),
+    overviews: () => fleet.ranks(),
     profile: () => profile,
   });
 
@@ -164,48 +169,52 @@
     return known;
   }
 
-  function addGrowth(growth: CountGrowth): void {
-    demand.add(growth);
-    recentDemand.add(growth);
+  function addCountDelta(delta: CountDelta): void {
+    demand.add(delta);
+    recentDemand.add(delta);
   }
 
-  /** What was chosen since the last look goes to the leader at once: a shift makes streams late. */
-  function onGrowth(growth: CountGrowth): void {
-    if (leadership.fence() === undefined) fleet.tellGrowth(packGrowth(growth, random));
-    else if (observer.report()?.isOpen === true) addGrowth(growth);
+  /**
+   * Count deltas are sent to the leader at once, because streams are late until a shift is handled.
+   */
+  function onCountDelta(delta: CountDelta): void {
+    if (leadership.fencingNumber() === undefined)
+      fleet.tellGrowth(quantizeCountDelta(delta, random));
+    else if (observer.report()?.isOpen === true) addCountDelta(delta);
   }
 
-  /** Reads a fresh report for the leader that asks. */
-  async function answer(to: string, question: number): Promise<void> {
+  /** Answers a leader's question with a fresh report. */
+  async function answerReportQuestion(to: string, question: number): Promise<void> {
     try {
       await observer.refresh();
       const report = observer.report();
       if (report !== undefined) fleet.answer(to, question, report);
     } catch (thrown) {
-      // The leader asks by HTTP next, and is told there that the rank does not answer.
-      logger.debug('no report to answer with', { reason: String(thrown) });
+      // Without an answer the leader asks by HTTP next, and learns there that the rank does not
+      // answer.
+      logger.debug('report question not answered', { reason: String(thrown) });
     }
   }
 
   function tick(): void {
-    const fence = leadership.fence();
-    // A new leader is told where the ranks are by the entries that hear of it.
-    if (fence !== undefined && fence !== reportedFence) fleet.reportNow();
-    reportedFence = fence;
+    const fencingNumber = leadership.fencingNumber();
+    // Entries that learn of a new leader send it the addresses of the ranks.
+    if (fencingNumber !== undefined && fencingNumber !== reportedFencingNumber) fleet.reportNow();
+    reportedFencingNumber = fencingNumber;
     timer = setTimeout(tick, fleet.tick());
   }
 
   return {
     report: () => observer.report(),
-    firstMap() {
+    initialGroupMap() {
       const report = observer.report();
       return profile === undefined || report === undefined
         ? undefined
-        : firstMap(profile, report.size);
+        : initialGroupMap(profile, report.size);
     },
-    sent: () => link.sent(),
+    sentDatagrams: () => datagramLink.sent(),
     async start() {
-      await link.start();
+      await datagramLink.start();
       observer.start();
       groupLeader.start();
       tick();
@@ -213,7 +222,7 @@
     stop() {
       groupLeader.stop();
       clearTimeout(timer);
-      link.stop();
+      datagramLink.stop();
     },
   };
 }
--- a/packages/group-sidecar/src/rank-observer.ts
+++ b/packages/group-sidecar/src/rank-observer.ts
@@ -1,9 +1,9 @@
 /**
- * Watches the backend server beside this sidecar: its state several times a second, and what
- * its requests chose at the pace that the leader can read.
+ * Polls the backend server beside this sidecar: its state several times a second, and its expert
+ * counts at the rate that the leader can process.
  */
-import { createGrowthMeter, planPace } from '@lapisbridge/group-leader';
-import type { CountGrowth, RankAddress, RankEngine } from '@lapisbridge/group-leader';
+import { createCountDeltaTracker, planReportingIntervals } from '@lapisbridge/group-leader';
+import type { CountDelta, RankAddress, RankEngine } from '@lapisbridge/group-leader';
 import type { Logger } from '@lapisbridge/logger';
 import type { RankReport } from '@lapisbridge/placement';
 
@@ -12,79 +12,89 @@
   readonly backendServer: RankAddress;
   readonly logger: Logger;
   now(): number;
-  /** Whether this sidecar leads its group, and so must follow the passes closely. */
+  /** Whether this sidecar leads its group, and therefore has to poll it more often. */
   isLeading(): boolean;
-  /** The group was lost or is back, as this rank sees it. */
+  /** Called when the rank's group broke or formed again, according to the rank's reports. */
   onOpenChanged(): void;
-  onGrowth(growth: CountGrowth): void;
-  /** A report was read when it was due. */
+  onCountDelta(growth: CountDelta): void;
+  /** Called after each scheduled read of a report. */
   onReport(report: RankReport): Promise<void>;
 }
 
 export interface RankObserver {
-  /** Undefined while the backend server does not answer. */
+  /** Last report; undefined while the backend server does not answer. */
   report(): RankReport | undefined;
   /** Reads a fresh report. Rejects when the backend server does not answer. */
   refresh(): Promise<void>;
   start(): void;
 }
 
-/** Between two reads while the backend server does not answer, or while this sidecar leads. */
-const CLOSE_MILLISECONDS = 100;
-/** The same while a hold stands here, which must not keep the group for long. */
-const HELD_MILLISECONDS = 25;
+/** Poll interval while the backend server does not answer, or while this sidecar leads. */
+const FAST_POLL_MILLISECONDS = 100;
+/**
+ * Poll interval while a hold is set at this rank. Short, because a hold must not keep the group
+ * waiting for long.
+ */
+const HELD_POLL_MILLISECONDS = 25;
 
 export function createRankObserver(options: RankObserverOptions): RankObserver {
   const { engine, backendServer, logger, now } = options;
-  const meter = createGrowthMeter();
-  let own: RankReport | undefined;
+  const deltaTracker = createCountDeltaTracker();
+  let lastReport: RankReport | undefined;
   let countedAt = -Infinity;
-  /** Pass of the last counts: without a pass nothing was chosen. */
+  /** Step of the last counts. Without a new pass no expert was selected. */
   let countedStep = -1;
 
   async function refresh(): Promise<void> {
     const report = await engine.report(backendServer);
-    const hasChanged = report?.isOpen !== own?.isOpen;
-    own = report;
+    const hasChanged = report?.isOpen !== lastReport?.isOpen;
+    lastReport = report;
     if (hasChanged) options.onOpenChanged();
   }
 
-  async function count(): Promise<void> {
-    if (own === undefined) return;
-    const { counts: pause, report } = planPace(own.size);
-    // Counts are read right after a report, so without slack each pause would grow by one of these.
-    if (now() - countedAt < pause - report / 2 || own.step === countedStep) return;
-    const { step } = own;
+  async function readCounts(): Promise<void> {
+    if (lastReport === undefined) return;
+    const { countsMilliseconds, reportMilliseconds } = planReportingIntervals(lastReport.size);
+    // Counts are read right after a report. Without this slack each interval would grow by up to
+    // one report interval.
+    if (
+      now() - countedAt < countsMilliseconds - reportMilliseconds / 2 ||
+      lastReport.step === countedStep
+    )
+      return;
+    const { step } = lastReport;
     const counts = await engine.counts(backendServer);
     countedAt = now();
     countedStep = step;
-    const growth = counts === undefined ? undefined : meter.note(counts);
-    if (growth !== undefined) options.onGrowth(growth);
+    const delta = counts === undefined ? undefined : deltaTracker.update(counts);
+    if (delta !== undefined) options.onCountDelta(delta);
   }
 
-  function pauseAfter(before: RankReport | undefined): number {
-    if (own?.heldStep !== undefined) return HELD_MILLISECONDS;
-    if (own === undefined || options.isLeading()) return CLOSE_MILLISECONDS;
-    const { report, idleReport } = planPace(own.size);
-    const isIdle = own.running + own.waiting === 0 && own.step === before?.step;
-    return isIdle ? idleReport : report;
+  function nextPollDelay(before: RankReport | undefined): number {
+    if (lastReport?.heldStep !== undefined) return HELD_POLL_MILLISECONDS;
+    if (lastReport === undefined || options.isLeading()) return FAST_POLL_MILLISECONDS;
+    const { reportMilliseconds, idleReportMilliseconds } = planReportingIntervals(lastReport.size);
+    const isIdle =
+      lastReport.running + lastReport.waiting === 0 && lastReport.step === before?.step;
+    return isIdle ? idleReportMilliseconds : reportMilliseconds;
   }
 
   async function observe(): Promise<void> {
-    const before = own;
+    const before = lastReport;
     try {
       await refresh();
-      if (own !== undefined) await options.onReport(own);
-      await count();
+      if (lastReport !== undefined) await options.onReport(lastReport);
+      await readCounts();
     } catch (thrown) {
-      if (own !== undefined) logger.info('backend server lost', { reason: String(thrown) });
-      own = undefined;
+      if (lastReport !== undefined)
+        logger.info('backend server does not answer', { reason: String(thrown) });
+      lastReport = undefined;
     }
-    setTimeout(() => void observe(), pauseAfter(before));
+    setTimeout(() => void observe(), nextPollDelay(before));
   }
 
   return {
-    report: () => own,
+    report: () => lastReport,
     refresh,
     start: () => void observe(),
   };
--- a/packages/group-sidecar/src/start-sidecar.ts
+++ b/packages/group-sidecar/src/start-sidecar.ts
@@ -1,9 +1,9 @@
 /**
- * The sidecar program: tells entries the load of the backend server beside it, and tends that
- * server's part in its lock-step group.
+ * The sidecar program: reports the load of the backend server beside it to the entries, and manages
+ * that server as a rank of its lock-step group.
  */
 import type { Store } from '@lapisbridge/catalog';
-import { askLeader, createLeadership, startRelayListener } from '@lapisbridge/group-leader';
+import { queryLeader, createLeadership, startRelayListener } from '@lapisbridge/group-leader';
 import type { RankAddress, RankEngine } from '@lapisbridge/group-leader';
 import { createRandom, monotonicClock } from '@lapisbridge/kernel';
 import { createMetrics, startMetricsListener } from '@lapisbridge/metrics';
@@ -15,13 +15,13 @@
 
 export interface SidecarAdapters {
   readonly engine: RankEngine;
-  /** `timeoutMilliseconds` is for one call. */
+  /** `timeoutMilliseconds` applies to each call. */
   createStore(options: RankAddress & { readonly timeoutMilliseconds: number }): Store;
 }
 
-const STORE_MILLISECONDS = 700;
+const STORE_TIMEOUT_MILLISECONDS = 700;
 
-function describeMember(metrics: Metrics, member: RankMember, leads: () => boolean): void {
+function registerMetrics(metrics: Metrics, member: RankMember, isLeading: () => boolean): void {
   metrics.gauge(
     'lapisbridge_group_epoch',
     'Epoch of the group; rises as it forms anew.',
@@ -33,7 +33,7 @@
     () => member.report()?.activeVersion ?? -1,
   );
   metrics.gauge('lapisbridge_leading', '1 while this sidecar leads its group.', () =>
-    leads() ? 1 : 0,
+    isLeading() ? 1 : 0,
   );
 }
 
@@ -49,18 +49,18 @@
     logger.warn('metrics not served', { reason: error.message });
   });
   if (backendServerAddress === undefined) {
-    logger.warn('nothing to tend', { reason: 'the settings name no backend server' });
+    logger.warn('sidecar has no backend server', { reason: 'the settings name no backend server' });
     endOnSignal(life, async () => undefined);
     return;
   }
   const leadership = createLeadership({
     store: adapters.createStore({
       ...settings.storeAddress,
-      timeoutMilliseconds: STORE_MILLISECONDS,
+      timeoutMilliseconds: STORE_TIMEOUT_MILLISECONDS,
     }),
     instanceId,
     host,
-    ask: (leaderHost) => askLeader({ host: leaderHost, port: peerPort }),
+    queryLeader: (leaderHost) => queryLeader({ host: leaderHost, port: peerPort }),
     logger,
     now: monotonicClock,
     random,
@@ -80,12 +80,12 @@
     backendServer: backendServerAddress,
     engine: adapters.engine,
     logger,
-    firstMap: () => member.firstMap(),
-    acceptFence: (fence) => leadership.accept(fence),
-    ownFence: () => leadership.fence(),
+    initialGroupMap: () => member.initialGroupMap(),
+    acceptFencingNumber: (fencingNumber) => leadership.acceptFencingNumber(fencingNumber),
+    ownFencingNumber: () => leadership.fencingNumber(),
   });
-  describeMember(metrics, member, () => leadership.fence() !== undefined);
-  metrics.datagrams(() => member.sent());
+  registerMetrics(metrics, member, () => leadership.fencingNumber() !== undefined);
+  metrics.datagrams(() => member.sentDatagrams());
   try {
     await member.start();
   } catch (thrown) {
--- a/packages/group-sidecar/src/stopped-leader.test.ts
+++ b/packages/group-sidecar/src/stopped-leader.test.ts
@@ -2,43 +2,46 @@
 import type { RankOrder } from '@lapisbridge/placement';
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 
-import { playGroup } from './played-group.js';
-import type { PlayedGroup, PlayedNetwork } from './played-group.js';
+import { createSimulatedGroup } from './simulated-group.js';
+import type { SimulatedGroup, SimulatedNetwork } from './simulated-group.js';
 
-const { network } = vi.hoisted((): { network: { current: PlayedNetwork | undefined } } => ({
+const { network } = vi.hoisted((): { network: { current: SimulatedNetwork | undefined } } => ({
   network: { current: undefined },
 }));
 
-function played(): PlayedNetwork {
-  if (network.current === undefined) throw new Error('no group is played');
+function currentNetwork(): SimulatedNetwork {
+  if (network.current === undefined) throw new Error('no group is simulated');
   return network.current;
 }
 
 vi.mock(import('@lapisbridge/json-call'), async (importOriginal) => ({
   ...(await importOriginal()),
-  callJson: (call) => played().call(call),
+  callJson: (call) => currentNetwork().call(call),
 }));
 vi.mock(import('@lapisbridge/fleet'), async (importOriginal) => ({
   ...(await importOriginal()),
-  createDatagramLink: (options) => played().createDatagramLink(options),
+  createDatagramLink: (options) => currentNetwork().createDatagramLink(options),
 }));
 vi.mock(import('@lapisbridge/group-leader'), async (importOriginal) => {
   const original = await importOriginal();
   return {
     ...original,
-    createDemandWatch: () => played().createDemandWatch(),
-    createRankLink: (options) =>
-      played().wrapLink(options.engine, original.createRankLink(options)),
+    createMapPlanner: () => currentNetwork().createMapPlanner(),
+    createRankClient: (options) =>
+      currentNetwork().wrapRankClient(options.engine, original.createRankClient(options)),
   };
 });
 
 const RANKS = 6;
-/** Longer than a group may pause while one machine stands still. */
+/** Time for which one machine is stopped; longer than a group may pause because of it. */
 const STOP_MILLISECONDS = 4000;
-/** Callers leave a stream after 2 s without an event, and a moved one has to be read anew. */
+/**
+ * Callers leave a stream after 2 s without an event, and a stream that moves needs its prompt
+ * processed again.
+ */
 const LONGEST_PAUSE_MILLISECONDS = 600;
 
-let group: PlayedGroup | undefined;
+let group: SimulatedGroup | undefined;
 
 beforeEach(() => {
   vi.useFakeTimers();
@@ -52,25 +55,25 @@
 
 interface StopPoint {
   readonly kind: RankOrderKind;
-  /** Orders of that kind that have been carried out. */
+  /** Number of orders of that kind that have been executed. */
   readonly count: number;
   readonly delayMilliseconds: number;
-  /** Time before the rollout, which decides how long before the stop the leader was heard last. */
+  /** Time before the rollout. Determines how long before the stop the last heartbeat was sent. */
   readonly settleMilliseconds: number;
 }
 
 interface Outcome {
-  /** Longest time between two passes while the machine stands still. */
+  /** Longest time between two passes while the machine is stopped. */
   readonly pauseMilliseconds: number;
-  /** The same once it goes on. */
+  /** Longest time between two passes after the machine has resumed. */
   readonly laterPauseMilliseconds: number;
-  /** Versions that differed as a pass began. */
-  readonly mixed: readonly number[] | undefined;
-  /** Maps in force when the machine has gone on and another map was wanted. */
+  /** Active versions of the ranks when a pass started with differing ones. */
+  readonly mixedVersions: readonly number[] | undefined;
+  /** Active versions after the machine has resumed and another map was requested. */
   readonly versions: ReadonlySet<number>;
 }
 
-/** Stops the leader's machine in the course of a rollout, and lets it go on later. */
+/** Stops the leader's machine in the course of a rollout, and resumes it later. */
 async function stopLeader({
   kind,
   count,
@@ -91,31 +94,31 @@
     else setTimeout(() => group?.stop(stopped), delayMilliseconds);
   }
 
-  group = playGroup({ seed: 1, ranks: RANKS, onOrder });
+  group = createSimulatedGroup({ seed: 1, ranks: RANKS, onOrder });
   network.current = group.network;
   const { engines } = group;
   await group.start();
   await vi.advanceTimersByTimeAsync(settleMilliseconds);
   leader = group.leader();
   expect(leader).toBeDefined();
-  group.wantMap();
+  group.requestMap();
   await vi.advanceTimersByTimeAsync(1500);
   expect(stoppedAt).toBeDefined();
   await vi.advanceTimersByTimeAsync(STOP_MILLISECONDS);
-  const pauseMilliseconds = engines.longestPause(stoppedAt ?? 0);
+  const pauseMilliseconds = engines.longestPauseMilliseconds(stoppedAt ?? 0);
   group.resume(leader ?? 0);
   await vi.advanceTimersByTimeAsync(100);
   const resumedAt = performance.now();
   await vi.advanceTimersByTimeAsync(3000);
-  group.wantMap();
+  group.requestMap();
   await vi.advanceTimersByTimeAsync(3000);
   const versions = new Set(
     Array.from({ length: RANKS }, (_, rank) => engines.report(rank).activeVersion),
   );
   return {
     pauseMilliseconds,
-    mixed: engines.mixed(),
-    laterPauseMilliseconds: engines.longestPause(resumedAt),
+    mixedVersions: engines.mixedVersions(),
+    laterPauseMilliseconds: engines.longestPauseMilliseconds(resumedAt),
     versions,
   };
 }
@@ -135,22 +138,22 @@
   );
 }
 
-describe('a group whose leader stops in a rollout', () => {
+describe('group whose leader stops during a rollout', () => {
   const points: readonly StopPoint[] = [
-    // Nothing is armed.
+    // No rank is armed.
     ...pointsAt(RankOrderKind.Hold, 1, [0, 5, 10]),
-    // The rank that holds is armed, and no other.
+    // Only the rank that holds the group is armed.
     ...pointsAt(RankOrderKind.Arm, 1, [0, 3]),
-    // All are armed, and the release is on its way.
+    // All ranks are armed, and the release is in transit.
     ...pointsAt(RankOrderKind.Arm, 2, [5, 10, 20]),
     ...pointsAt(RankOrderKind.Release, 1, [0, 10]),
   ];
 
   it.each(points)(
-    'goes on: $kind $count, after $delayMilliseconds ms, of $settleMilliseconds',
+    'continues: $kind $count, stopped after $delayMilliseconds ms, rollout at $settleMilliseconds ms',
     async (point) => {
       const outcome = await stopLeader(point);
-      expect(outcome.mixed).toBeUndefined();
+      expect(outcome.mixedVersions).toBeUndefined();
       expect(outcome.pauseMilliseconds).toBeLessThan(LONGEST_PAUSE_MILLISECONDS);
       expect(outcome.laterPauseMilliseconds).toBeLessThan(LONGEST_PAUSE_MILLISECONDS);
       expect(outcome.versions.size).toBe(1);
@@ -158,17 +161,17 @@
     },
   );
 
-  // All others are armed, and only its own rank can tell whether it is too.
+  // All other ranks are armed, and only the leader's own rank can tell whether it is armed too.
   const unknown: readonly StopPoint[] = [
     ...pointsAt(RankOrderKind.Arm, 1, [5, 10]),
     ...pointsAt(RankOrderKind.Arm, 2, [0, 3]),
   ];
 
   it.each(unknown)(
-    'keeps one map, and goes on with the machine: $kind $count, after $delayMilliseconds ms, of $settleMilliseconds',
+    'keeps one map, and continues once the machine resumes: $kind $count, stopped after $delayMilliseconds ms, rollout at $settleMilliseconds ms',
     async (point) => {
       const outcome = await stopLeader(point);
-      expect(outcome.mixed).toBeUndefined();
+      expect(outcome.mixedVersions).toBeUndefined();
       expect(outcome.laterPauseMilliseconds).toBeLessThan(LONGEST_PAUSE_MILLISECONDS);
       expect(outcome.versions.size).toBe(1);
       expect(outcome.versions).not.toContain(0);
