--- a/packages/entry/src/repair.test.ts
+++ b/packages/entry/src/repair.test.ts
@@ -113,7 +113,7 @@
     incarnation: 1,
     state: InstanceState.Live,
     version: 0,
-    since: 0,
+    stateSinceMilliseconds: 0,
     listedLeaving: false,
   };
   const logger = createSilentLogger();
--- a/packages/membership/src/gossip.ts
+++ b/packages/membership/src/gossip.ts
@@ -35,16 +35,16 @@
 }
 
 export interface ProberTiming {
-  readonly periodMilliseconds: number;
-  readonly ackMilliseconds: number;
-  readonly suspicionMilliseconds: number;
+  readonly probePeriodMilliseconds: number;
+  readonly ackTimeoutMilliseconds: number;
+  readonly suspicionTimeoutMilliseconds: number;
   /** How long a dead member is remembered and now and then probed. */
-  readonly forgetMilliseconds: number;
+  readonly deadRetentionMilliseconds: number;
 }
 
-export const DEFAULT_TIMING: ProberTiming = {
-  periodMilliseconds: 1000,
-  ackMilliseconds: 300,
-  suspicionMilliseconds: 3000,
-  forgetMilliseconds: 24 * 3600 * 1000,
+export const DEFAULT_PROBER_TIMING: ProberTiming = {
+  probePeriodMilliseconds: 1000,
+  ackTimeoutMilliseconds: 300,
+  suspicionTimeoutMilliseconds: 3000,
+  deadRetentionMilliseconds: 24 * 3600 * 1000,
 };
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,9 +1,9 @@
 /**
  * Who is there: probing with suspicion and incarnation numbers at a fixed cost per instance.
  */
-export { createMemberTable, isNews } from './member-table.js';
+export { createMemberTable, isNewerUpdate } from './member-table.js';
 export type { Member, MemberTable, MemberUpdate } from './member-table.js';
-export { DEFAULT_TIMING, GossipKind } from './gossip.js';
+export { DEFAULT_PROBER_TIMING, GossipKind } from './gossip.js';
 export type { GossipMessage, ProberOptions, ProberTiming } from './gossip.js';
 export { createProber } from './prober.js';
 export type { Prober } from './prober.js';
@@ -12,5 +12,5 @@
   ListedInstanceView,
   Membership,
   MembershipOptions,
-  Traffic,
+  GossipTraffic,
 } from './udp-membership.js';
--- a/packages/membership/src/member-table.ts
+++ b/packages/membership/src/member-table.ts
@@ -15,23 +15,24 @@
 
 export interface Member extends MemberUpdate {
   /** Monotonic milliseconds at which this state was first believed here. */
-  readonly since: number;
+  readonly stateSinceMilliseconds: number;
   /** The platform's list says that the instance is being removed. */
   readonly listedLeaving: boolean;
 }
 
 /** At one incarnation the worse news wins, since better news comes with a higher one. */
-const STATE_RANK: Readonly<Record<InstanceState, number>> = {
+const STATE_PRECEDENCE: Readonly<Record<InstanceState, number>> = {
   [InstanceState.Live]: 0,
   [InstanceState.Suspect]: 1,
   [InstanceState.Leaving]: 2,
   [InstanceState.Dead]: 3,
 };
 
-export function isNews(known: MemberUpdate | undefined, update: MemberUpdate): boolean {
+export function isNewerUpdate(known: MemberUpdate | undefined, update: MemberUpdate): boolean {
   if (known === undefined) return true;
   if (update.incarnation !== known.incarnation) return update.incarnation > known.incarnation;
-  if (update.state !== known.state) return STATE_RANK[update.state] > STATE_RANK[known.state];
+  if (update.state !== known.state)
+    return STATE_PRECEDENCE[update.state] > STATE_PRECEDENCE[known.state];
   return update.version > known.version;
 }
 
@@ -42,8 +43,8 @@
   /** Merges an update; true when it was news. */
   merge(update: MemberUpdate, now: number): boolean;
   /** Notes what the platform's list says; unknown instances enter with incarnation 0. */
-  noteListed(record: InstanceRecord, leaving: boolean, now: number): boolean;
-  forget(instanceId: string): void;
+  mergeListed(record: InstanceRecord, leaving: boolean, now: number): boolean;
+  remove(instanceId: string): void;
 }
 
 export function createMemberTable(): MemberTable {
@@ -57,30 +58,34 @@
     merge(update, now) {
       const { instanceId } = update.record;
       const known = members.get(instanceId);
-      if (!isNews(known, update)) return false;
+      if (!isNewerUpdate(known, update)) return false;
       const sameState = known !== undefined && known.state === update.state;
       members.set(instanceId, {
         record: update.record,
         incarnation: update.incarnation,
         state: update.state,
         version: Math.max(update.version, known?.version ?? 0),
-        since: sameState ? known.since : now,
+        stateSinceMilliseconds: sameState ? known.stateSinceMilliseconds : now,
         listedLeaving: known?.listedLeaving ?? false,
       });
       return true;
     },
-    noteListed(record, leaving, now) {
+    mergeListed(record, leaving, now) {
       const known = members.get(record.instanceId);
       if (known === undefined) {
         const update = { record, incarnation: 0, state: InstanceState.Live, version: 0 };
-        members.set(record.instanceId, { ...update, since: now, listedLeaving: leaving });
+        members.set(record.instanceId, {
+          ...update,
+          stateSinceMilliseconds: now,
+          listedLeaving: leaving,
+        });
         return true;
       }
       if (known.listedLeaving === leaving) return false;
       members.set(record.instanceId, { ...known, listedLeaving: leaving });
       return true;
     },
-    forget(instanceId) {
+    remove(instanceId) {
       members.delete(instanceId);
     },
   };
--- a/packages/membership/src/membership.test.ts
+++ b/packages/membership/src/membership.test.ts
@@ -9,13 +9,13 @@
 import { createMemberTable, createProber } from './index.js';
 import type { GossipMessage, MemberUpdate, Prober } from './index.js';
 
-const TICK = 100;
+const TICK_MILLISECONDS = 100;
 
 interface Network {
   readonly probers: Map<string, Prober>;
   /** Pairs "from>to" over which nothing passes. */
-  readonly cut: Set<string>;
-  readonly down: Set<string>;
+  readonly blockedLinks: Set<string>;
+  readonly stoppedInstances: Set<string>;
   readonly messages: { count: number };
   now: number;
   run(milliseconds: number): void;
@@ -35,7 +35,7 @@
 }
 
 /** A small generator of its own, so that a failing seed can be repeated. */
-function seeded(seed: number): () => number {
+function createSeededRandom(seed: number): () => number {
   let state = seed + 1;
   return () => {
     state = (state * 48_271) % 2_147_483_647;
@@ -44,40 +44,42 @@
 }
 
 function createNetwork(names: readonly string[], seed: number): Network {
-  const random = seeded(seed);
-  const waiting: { at: number; to: string; message: GossipMessage }[] = [];
+  const random = createSeededRandom(seed);
+  const inTransit: { at: number; to: string; message: GossipMessage }[] = [];
   const network: Network = {
     probers: new Map(),
-    cut: new Set(),
-    down: new Set(),
+    blockedLinks: new Set(),
+    stoppedInstances: new Set(),
     messages: { count: 0 },
     now: 0,
     run(milliseconds) {
       const end = network.now + milliseconds;
       while (network.now < end) {
-        network.now += TICK;
+        network.now += TICK_MILLISECONDS;
         deliver();
         for (const [name, prober] of network.probers) {
-          if (!network.down.has(name)) prober.tick(network.now);
+          if (!network.stoppedInstances.has(name)) prober.tick(network.now);
         }
         deliver();
       }
     },
     restart(name, incarnation) {
-      network.down.delete(name);
+      network.stoppedInstances.delete(name);
       network.probers.set(name, create(name, incarnation));
       for (const other of names)
-        network.probers.get(name)?.noteListed(record(other), false, network.now);
+        network.probers.get(name)?.mergeListed(record(other), false, network.now);
     },
     stateOf: (observer, name) => network.probers.get(observer)?.member(name)?.state,
   };
 
   function deliver(): void {
-    for (const { to, message } of waiting.splice(0)) {
+    for (const { to, message } of inTransit.splice(0)) {
       const from = message.from.record.instanceId;
-      const lost =
-        network.cut.has(`${from}>${to}`) || network.down.has(to) || network.down.has(from);
-      if (!lost) network.probers.get(to)?.receive(message, network.now);
+      const isDropped =
+        network.blockedLinks.has(`${from}>${to}`) ||
+        network.stoppedInstances.has(to) ||
+        network.stoppedInstances.has(from);
+      if (!isDropped) network.probers.get(to)?.receive(message, network.now);
     }
   }
 
@@ -88,7 +90,7 @@
       random,
       send(to, message) {
         network.messages.count += 1;
-        waiting.push({ at: network.now, to: to.instanceId, message });
+        inTransit.push({ at: network.now, to: to.instanceId, message });
       },
       stateDigest: () => '',
       onChange: () => undefined,
@@ -101,11 +103,11 @@
 }
 
 const NAMES = ['a', 'b', 'c', 'd', 'e', 'f'];
-const seeds = fc.integer({ min: 0, max: 1_000_000 });
+const seedArbitrary = fc.integer({ min: 0, max: 1_000_000 });
 
 function expectAll(network: Network, name: string, state: InstanceState): void {
   for (const observer of NAMES) {
-    if (observer === name || network.down.has(observer)) continue;
+    if (observer === name || network.stoppedInstances.has(observer)) continue;
     expect(`${observer}: ${network.stateOf(observer, name)}`).toBe(`${observer}: ${state}`);
   }
 }
@@ -115,10 +117,10 @@
     // A process dies without a word. Entries that did not notice would go on choosing it, and
     // each request sent there would lose a connect timeout.
     fc.assert(
-      fc.property(seeds, (seed) => {
+      fc.property(seedArbitrary, (seed) => {
         const network = createNetwork(NAMES, seed);
         network.run(3000);
-        network.down.add('c');
+        network.stoppedInstances.add('c');
         network.run(30_000);
         expectAll(network, 'c', InstanceState.Dead);
         network.restart('c', 2);
@@ -133,10 +135,10 @@
     // An asymmetric cut: b hears a, and a does not hear b. On its own evidence a would declare b
     // dead, and the whole fleet would stop using a healthy server.
     fc.assert(
-      fc.property(seeds, (seed) => {
+      fc.property(seedArbitrary, (seed) => {
         const network = createNetwork(NAMES, seed);
         network.run(3000);
-        network.cut.add('b>a');
+        network.blockedLinks.add('b>a');
         network.run(30_000);
         for (const observer of ['c', 'd', 'e', 'f']) {
           expect(network.stateOf(observer, 'b')).not.toBe(InstanceState.Dead);
@@ -150,16 +152,16 @@
     // Regions lose each other for an hour, and each half declares the other dead. If nobody asked
     // the dead again, the halves would stay apart for good after the network is back.
     fc.assert(
-      fc.property(seeds, (seed) => {
+      fc.property(seedArbitrary, (seed) => {
         const network = createNetwork(NAMES, seed);
         network.run(3000);
         for (const left of ['a', 'b', 'c']) {
           for (const right of ['d', 'e', 'f'])
-            network.cut.add(`${left}>${right}`).add(`${right}>${left}`);
+            network.blockedLinks.add(`${left}>${right}`).add(`${right}>${left}`);
         }
         network.run(3_600_000);
         expect(network.stateOf('a', 'f')).toBe(InstanceState.Dead);
-        network.cut.clear();
+        network.blockedLinks.clear();
         network.run(60_000);
         for (const name of NAMES) expectAll(network, name, InstanceState.Live);
       }),
@@ -197,16 +199,16 @@
       }),
       { minLength: 1, maxLength: 8 },
     );
-    const believe = (given: readonly MemberUpdate[]): unknown => {
+    const mergeAll = (sequence: readonly MemberUpdate[]): unknown => {
       const table = createMemberTable();
-      for (const update of given) table.merge(update, 0);
+      for (const update of sequence) table.merge(update, 0);
       const member = table.get('x');
       return [member?.incarnation, member?.state];
     };
     fc.assert(
-      fc.property(updates, (given) => {
-        expect(believe([...given].reverse())).toEqual(believe(given));
-        expect(believe([...given, ...given])).toEqual(believe(given));
+      fc.property(updates, (sequence) => {
+        expect(mergeAll([...sequence].reverse())).toEqual(mergeAll(sequence));
+        expect(mergeAll([...sequence, ...sequence])).toEqual(mergeAll(sequence));
       }),
     );
   });
--- a/packages/membership/src/prober.ts
+++ b/packages/membership/src/prober.ts
@@ -8,21 +8,21 @@
 import { InstanceState } from '@lapisbridge/types';
 import type { InstanceRecord } from '@lapisbridge/types';
 
-import { DEFAULT_TIMING, GossipKind } from './gossip.js';
+import { DEFAULT_PROBER_TIMING, GossipKind } from './gossip.js';
 import type { GossipMessage, ProberOptions } from './gossip.js';
 import { createMemberTable } from './member-table.js';
 import type { Member, MemberUpdate } from './member-table.js';
 import { createUpdateQueue } from './update-queue.js';
 
-const INDIRECT_PROBES = 3;
+const INDIRECT_PROBE_COUNT = 3;
 /** Updates on one message: keeps a datagram below a usual path's 1,400 bytes. */
 const UPDATES_PER_MESSAGE = 4;
 /** Share of messages that also carry a known member in passing. */
-const PASSING_SHARE = 0.25;
+const RANDOM_MEMBER_PROBABILITY = 0.25;
 /** Share of periods in which a dead member is pinged too, so that two sides of a healed cut find each other. */
-const DEAD_PROBE_SHARE = 0.25;
+const DEAD_PROBE_PROBABILITY = 0.25;
 
-interface OpenProbe {
+interface PendingProbe {
   readonly target: string;
   readonly sequence: number;
   readonly startedAt: number;
@@ -40,7 +40,7 @@
   member(instanceId: string): Member | undefined;
   tick(now: number): void;
   receive(message: GossipMessage, now: number): void;
-  noteListed(record: InstanceRecord, leaving: boolean, now: number): void;
+  mergeListed(record: InstanceRecord, leaving: boolean, now: number): void;
   /** Announces that this instance leaves; the rest hears it with the next messages. */
   leave(now: number): void;
   /** Announces the configuration version in force here. */
@@ -48,26 +48,26 @@
 }
 
 export function createProber(options: ProberOptions): Prober {
-  const timing = { ...DEFAULT_TIMING, ...options.timing };
+  const timing = { ...DEFAULT_PROBER_TIMING, ...options.timing };
   const table = createMemberTable();
   const queue = createUpdateQueue();
   const relayed = new Map<number, RelayedProbe>();
-  let own: MemberUpdate = {
+  let ownUpdate: MemberUpdate = {
     record: options.self,
     incarnation: options.incarnation,
     state: InstanceState.Live,
     version: 0,
   };
   let sequence = 0;
-  let order: string[] = [];
-  let probe: OpenProbe | undefined;
+  let probeOrder: string[] = [];
+  let pendingProbe: PendingProbe | undefined;
   let nextProbeAt = 0;
 
-  function pick<T>(list: readonly T[]): T | undefined {
+  function pickRandom<T>(list: readonly T[]): T | undefined {
     return list[Math.floor(options.random() * list.length)];
   }
 
-  function accept(update: MemberUpdate, now: number): void {
+  function applyUpdate(update: MemberUpdate, now: number): void {
     if (update.record.instanceId === options.self.instanceId) {
       refute(update);
       return;
@@ -79,30 +79,41 @@
 
   /** A rumour that we are suspect or dead: answered by a higher incarnation of our own. */
   function refute(update: MemberUpdate): void {
-    const worse = update.state !== InstanceState.Live && own.state === InstanceState.Live;
-    const newer = update.incarnation > own.incarnation;
-    if (!newer && !(worse && update.incarnation === own.incarnation)) return;
-    own = { ...own, incarnation: update.incarnation + 1 };
-    queue.add(own);
+    const reportsWorseState =
+      update.state !== InstanceState.Live && ownUpdate.state === InstanceState.Live;
+    const hasHigherIncarnation = update.incarnation > ownUpdate.incarnation;
+    if (
+      !hasHigherIncarnation &&
+      !(reportsWorseState && update.incarnation === ownUpdate.incarnation)
+    )
+      return;
+    ownUpdate = { ...ownUpdate, incarnation: update.incarnation + 1 };
+    queue.add(ownUpdate);
   }
 
   /** Fresh updates first, then members in passing, which repairs what was missed before. */
   function updatesFor(receiver: string): readonly MemberUpdate[] {
     const updates = [...queue.take(UPDATES_PER_MESSAGE, table.size)];
-    const belief = table.get(receiver);
-    if (belief !== undefined && belief.state !== InstanceState.Live) updates.unshift(belief);
-    if (updates.length < UPDATES_PER_MESSAGE && options.random() < PASSING_SHARE) {
-      const passing = pick([...table.all()]);
-      if (passing !== undefined && passing.incarnation > 0) updates.push(passing);
+    const knownReceiver = table.get(receiver);
+    if (knownReceiver !== undefined && knownReceiver.state !== InstanceState.Live)
+      updates.unshift(knownReceiver);
+    if (updates.length < UPDATES_PER_MESSAGE && options.random() < RANDOM_MEMBER_PROBABILITY) {
+      const randomMember = pickRandom([...table.all()]);
+      if (randomMember !== undefined && randomMember.incarnation > 0) updates.push(randomMember);
     }
     return updates.slice(0, UPDATES_PER_MESSAGE).map(toUpdate);
   }
 
-  function send(to: InstanceRecord, kind: GossipKind, number: number, target?: string): void {
+  function send(
+    to: InstanceRecord,
+    kind: GossipKind,
+    sequenceNumber: number,
+    target?: string,
+  ): void {
     options.send(to, {
       kind,
-      sequence: number,
-      from: own,
+      sequence: sequenceNumber,
+      from: ownUpdate,
       ...(target === undefined ? {} : { target }),
       updates: updatesFor(to.instanceId),
       stateDigest: options.stateDigest(),
@@ -110,9 +121,9 @@
   }
 
   /** Pings a few members out of turn, because there is news. */
-  function tellSome(): void {
-    const members = [...table.all()].filter(isProbed);
-    for (let count = 0; count < INDIRECT_PROBES && members.length > 0; count += 1) {
+  function pingRandomMembers(): void {
+    const members = [...table.all()].filter(isProbeTarget);
+    for (let count = 0; count < INDIRECT_PROBE_COUNT && members.length > 0; count += 1) {
       const [member] = members.splice(Math.floor(options.random() * members.length), 1);
       if (member !== undefined) {
         sequence += 1;
@@ -122,30 +133,30 @@
   }
 
   function nextTarget(): Member | undefined {
-    while (order.length > 0) {
-      const member = table.get(order.pop() as string);
-      if (member !== undefined && isProbed(member)) return member;
+    while (probeOrder.length > 0) {
+      const member = table.get(probeOrder.pop() as string);
+      if (member !== undefined && isProbeTarget(member)) return member;
     }
-    const names: string[] = [];
+    const instanceIds: string[] = [];
     for (const member of table.all()) {
-      if (isProbed(member))
-        names.splice(
-          Math.floor(options.random() * (names.length + 1)),
+      if (isProbeTarget(member))
+        instanceIds.splice(
+          Math.floor(options.random() * (instanceIds.length + 1)),
           0,
           member.record.instanceId,
         );
     }
-    order = names;
-    const first = order.pop();
+    probeOrder = instanceIds;
+    const first = probeOrder.pop();
     return first === undefined ? undefined : table.get(first);
   }
 
   function startProbe(now: number): void {
-    nextProbeAt = now + timing.periodMilliseconds;
+    nextProbeAt = now + timing.probePeriodMilliseconds;
     const target = nextTarget();
     if (target !== undefined) {
       sequence += 1;
-      probe = {
+      pendingProbe = {
         target: target.record.instanceId,
         sequence,
         startedAt: now,
@@ -153,53 +164,54 @@
       };
       send(target.record, GossipKind.Ping, sequence);
     }
-    if (options.random() >= DEAD_PROBE_SHARE) return;
-    const dead = pick([...table.all()].filter(({ state }) => state === InstanceState.Dead));
+    if (options.random() >= DEAD_PROBE_PROBABILITY) return;
+    const dead = pickRandom([...table.all()].filter(({ state }) => state === InstanceState.Dead));
     if (dead === undefined) return;
     sequence += 1;
     send(dead.record, GossipKind.Ping, sequence);
   }
 
-  function askOthers(open: OpenProbe): void {
-    open.indirect = true;
-    const helpers = [...table.all()].filter(
-      ({ record, state }) => state === InstanceState.Live && record.instanceId !== open.target,
+  function requestIndirectProbes(probe: PendingProbe): void {
+    probe.indirect = true;
+    const intermediaries = [...table.all()].filter(
+      ({ record, state }) => state === InstanceState.Live && record.instanceId !== probe.target,
     );
-    for (let count = 0; count < INDIRECT_PROBES && helpers.length > 0; count += 1) {
-      const index = Math.floor(options.random() * helpers.length);
-      const [helper] = helpers.splice(index, 1);
-      if (helper !== undefined) {
-        send(helper.record, GossipKind.PingRequest, open.sequence, open.target);
+    for (let count = 0; count < INDIRECT_PROBE_COUNT && intermediaries.length > 0; count += 1) {
+      const index = Math.floor(options.random() * intermediaries.length);
+      const [intermediary] = intermediaries.splice(index, 1);
+      if (intermediary !== undefined) {
+        send(intermediary.record, GossipKind.PingRequest, probe.sequence, probe.target);
       }
     }
   }
 
-  function concludeProbe(now: number): void {
-    if (probe === undefined) return;
-    const age = now - probe.startedAt;
-    if (!probe.indirect && age >= timing.ackMilliseconds) askOthers(probe);
-    if (age < timing.ackMilliseconds * 3) return;
-    const member = table.get(probe.target);
-    probe = undefined;
+  function advanceProbe(now: number): void {
+    if (pendingProbe === undefined) return;
+    const age = now - pendingProbe.startedAt;
+    if (!pendingProbe.indirect && age >= timing.ackTimeoutMilliseconds)
+      requestIndirectProbes(pendingProbe);
+    if (age < timing.ackTimeoutMilliseconds * 3) return;
+    const member = table.get(pendingProbe.target);
+    pendingProbe = undefined;
     if (member === undefined || member.state !== InstanceState.Live) return;
-    accept({ ...toUpdate(member), state: InstanceState.Suspect }, now);
+    applyUpdate({ ...toUpdate(member), state: InstanceState.Suspect }, now);
   }
 
-  function ageMembers(now: number): void {
+  function expireMembers(now: number): void {
     for (const member of [...table.all()]) {
-      const age = now - member.since;
-      if (member.state === InstanceState.Suspect && age >= timing.suspicionMilliseconds) {
-        accept({ ...toUpdate(member), state: InstanceState.Dead }, now);
-      } else if (member.state === InstanceState.Dead && age >= timing.forgetMilliseconds) {
-        table.forget(member.record.instanceId);
+      const age = now - member.stateSinceMilliseconds;
+      if (member.state === InstanceState.Suspect && age >= timing.suspicionTimeoutMilliseconds) {
+        applyUpdate({ ...toUpdate(member), state: InstanceState.Dead }, now);
+      } else if (member.state === InstanceState.Dead && age >= timing.deadRetentionMilliseconds) {
+        table.remove(member.record.instanceId);
       }
     }
-    for (const [number, relay] of relayed) {
-      if (now - relay.startedAt > timing.periodMilliseconds) relayed.delete(number);
+    for (const [sequenceNumber, relay] of relayed) {
+      if (now - relay.startedAt > timing.probePeriodMilliseconds) relayed.delete(sequenceNumber);
     }
   }
 
-  function relayPing(message: GossipMessage, now: number): void {
+  function handlePingRequest(message: GossipMessage, now: number): void {
     const target = table.get(message.target ?? '');
     if (target === undefined) return;
     sequence += 1;
@@ -211,8 +223,8 @@
     send(target.record, GossipKind.Ping, sequence);
   }
 
-  function takeAck(message: GossipMessage): void {
-    if (probe?.sequence === message.sequence) probe = undefined;
+  function handleAck(message: GossipMessage): void {
+    if (pendingProbe?.sequence === message.sequence) pendingProbe = undefined;
     const relay = relayed.get(message.sequence);
     if (relay === undefined) return;
     relayed.delete(message.sequence);
@@ -223,23 +235,23 @@
     members: () => table.all(),
     member: (instanceId) => table.get(instanceId),
     tick(now) {
-      concludeProbe(now);
-      ageMembers(now);
+      advanceProbe(now);
+      expireMembers(now);
       if (now >= nextProbeAt) startProbe(now);
     },
     receive(message, now) {
-      accept(message.from, now);
-      for (const update of message.updates) accept(update, now);
+      applyUpdate(message.from, now);
+      for (const update of message.updates) applyUpdate(update, now);
       options.onPeerDigest(message.from.record, message.stateDigest);
       switch (message.kind) {
         case GossipKind.Ping:
           send(message.from.record, GossipKind.Ack, message.sequence);
           break;
         case GossipKind.Ack:
-          takeAck(message);
+          handleAck(message);
           break;
         case GossipKind.PingRequest:
-          relayPing(message, now);
+          handlePingRequest(message, now);
           break;
         default: {
           const unreachable: never = message.kind;
@@ -247,28 +259,28 @@
         }
       }
     },
-    noteListed(record, leaving, now) {
+    mergeListed(record, leaving, now) {
       if (record.instanceId === options.self.instanceId) return;
-      if (!table.noteListed(record, leaving, now)) return;
+      if (!table.mergeListed(record, leaving, now)) return;
       options.onChange(table.get(record.instanceId) as Member);
     },
     leave(now) {
-      own = { ...own, state: InstanceState.Leaving };
-      queue.add(own);
-      tellSome();
+      ownUpdate = { ...ownUpdate, state: InstanceState.Leaving };
+      queue.add(ownUpdate);
+      pingRandomMembers();
       nextProbeAt = now;
     },
     announceVersion(version) {
-      if (version <= own.version) return;
-      own = { ...own, version };
-      queue.add(own);
+      if (version <= ownUpdate.version) return;
+      ownUpdate = { ...ownUpdate, version };
+      queue.add(ownUpdate);
       // Operators wait to see their change in force everywhere; the next probe may be a second off.
-      tellSome();
+      pingRandomMembers();
     },
   };
 }
 
-function isProbed(member: Member): boolean {
+function isProbeTarget(member: Member): boolean {
   return member.state !== InstanceState.Dead;
 }
 
--- a/packages/membership/src/udp-membership.ts
+++ b/packages/membership/src/udp-membership.ts
@@ -14,10 +14,10 @@
 import { createProber } from './prober.js';
 import type { Prober } from './prober.js';
 
-const TICK_MILLISECONDS = 250;
-const LIST_MILLISECONDS = 2500;
+const TICK_PERIOD_MILLISECONDS = 250;
+const LIST_POLL_MILLISECONDS = 2500;
 /** Messages sent while leaving, so that one lost datagram does not hide it. */
-const GOODBYE_TICKS = 3;
+const LEAVE_ANNOUNCEMENTS = 3;
 
 export interface ListedInstanceView {
   readonly record: InstanceRecord;
@@ -44,10 +44,10 @@
   announceVersion(version: number): void;
   announceLeaving(): void;
   /** Bytes and messages since the start, for metrics and the capacity page. */
-  readonly traffic: Traffic;
+  readonly traffic: GossipTraffic;
 }
 
-export interface Traffic {
+export interface GossipTraffic {
   sentMessages: number;
   sentBytes: number;
   receivedMessages: number;
@@ -58,10 +58,15 @@
 
 export function createMembership(options: MembershipOptions): Membership {
   const { self, clock } = options;
-  const traffic: Traffic = { sentMessages: 0, sentBytes: 0, receivedMessages: 0, receivedBytes: 0 };
+  const traffic: GossipTraffic = {
+    sentMessages: 0,
+    sentBytes: 0,
+    receivedMessages: 0,
+    receivedBytes: 0,
+  };
   let socket: Socket | undefined;
-  let ticking: NodeJS.Timeout | undefined;
-  let listing: NodeJS.Timeout | undefined;
+  let tickTimer: NodeJS.Timeout | undefined;
+  let listPollTimer: NodeJS.Timeout | undefined;
   let stopped = false;
 
   function send(to: InstanceRecord, message: GossipMessage): void {
@@ -97,47 +102,47 @@
     prober.receive(message, clock());
   }
 
-  async function readList(): Promise<void> {
+  async function pollInstanceList(): Promise<void> {
     try {
       for (const { record, state } of await options.listInstances()) {
         const leaving = state === State.Leaving;
         if (record.instanceId === self.instanceId && leaving) options.onOwnLeaving?.();
-        prober.noteListed(record, leaving, clock());
+        prober.mergeListed(record, leaving, clock());
       }
     } catch {
       // The list is only a seed: gossip goes on with what is known.
     }
   }
 
-  function scheduleList(): void {
+  function scheduleListPoll(): void {
     if (stopped) return;
-    const jittered = LIST_MILLISECONDS * (0.5 + options.random());
-    listing = setTimeout(() => void readList().then(scheduleList), jittered);
+    const jittered = LIST_POLL_MILLISECONDS * (0.5 + options.random());
+    listPollTimer = setTimeout(() => void pollInstanceList().then(scheduleListPoll), jittered);
   }
 
   return {
     traffic,
     async start() {
-      const opened = createSocket(self.host.includes(':') ? 'udp6' : 'udp4');
-      socket = opened;
+      const boundSocket = createSocket(self.host.includes(':') ? 'udp6' : 'udp4');
+      socket = boundSocket;
       await new Promise<void>((resolve, reject) => {
-        opened.once('error', reject);
-        opened.bind(self.peerPort, self.host, () => {
-          opened.removeListener('error', reject);
+        boundSocket.once('error', reject);
+        boundSocket.bind(self.peerPort, self.host, () => {
+          boundSocket.removeListener('error', reject);
           resolve();
         });
       });
-      opened.on('message', receive);
-      opened.on('error', () => undefined);
-      await readList();
-      scheduleList();
-      ticking = setInterval(() => prober.tick(clock()), TICK_MILLISECONDS);
+      boundSocket.on('message', receive);
+      boundSocket.on('error', () => undefined);
+      await pollInstanceList();
+      scheduleListPoll();
+      tickTimer = setInterval(() => prober.tick(clock()), TICK_PERIOD_MILLISECONDS);
     },
     async stop() {
       stopped = true;
-      clearTimeout(listing);
-      clearInterval(ticking);
-      for (let count = 0; count < GOODBYE_TICKS; count += 1) prober.leave(clock());
+      clearTimeout(listPollTimer);
+      clearInterval(tickTimer);
+      for (let count = 0; count < LEAVE_ANNOUNCEMENTS; count += 1) prober.leave(clock());
       await new Promise<void>((resolve) => {
         if (socket === undefined) resolve();
         else socket.close(() => resolve());
--- a/packages/membership/src/update-queue.ts
+++ b/packages/membership/src/update-queue.ts
@@ -5,7 +5,7 @@
  */
 import type { MemberUpdate } from './member-table.js';
 
-const TRANSMISSIONS_FACTOR = 3;
+const RETRANSMIT_MULTIPLIER = 3;
 
 export interface UpdateQueue {
   readonly size: number;
@@ -14,30 +14,30 @@
   take(count: number, fleetSize: number): readonly MemberUpdate[];
 }
 
-interface Pending {
+interface QueuedUpdate {
   readonly update: MemberUpdate;
-  sent: number;
+  transmissions: number;
 }
 
 export function createUpdateQueue(): UpdateQueue {
-  const pending = new Map<string, Pending>();
+  const queued = new Map<string, QueuedUpdate>();
   return {
     get size() {
-      return pending.size;
+      return queued.size;
     },
     add(update) {
-      pending.set(update.record.instanceId, { update, sent: 0 });
+      queued.set(update.record.instanceId, { update, transmissions: 0 });
     },
     take(count, fleetSize) {
-      const limit = Math.ceil(TRANSMISSIONS_FACTOR * Math.log2(fleetSize + 2));
-      const waiting = [...pending.values()];
-      waiting.sort((left, right) => left.sent - right.sent);
-      const taken = waiting.slice(0, count);
-      for (const one of taken) {
-        one.sent += 1;
-        if (one.sent >= limit) pending.delete(one.update.record.instanceId);
+      const limit = Math.ceil(RETRANSMIT_MULTIPLIER * Math.log2(fleetSize + 2));
+      const leastSentFirst = [...queued.values()];
+      leastSentFirst.sort((left, right) => left.transmissions - right.transmissions);
+      const selected = leastSentFirst.slice(0, count);
+      for (const entry of selected) {
+        entry.transmissions += 1;
+        if (entry.transmissions >= limit) queued.delete(entry.update.record.instanceId);
       }
-      return taken.map(({ update }) => update);
+      return selected.map(({ update }) => update);
     },
   };
 }
