--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,5 +1,6 @@
 /**
- * Who is there: probing with suspicion and incarnation numbers at a fixed cost per instance.
+ * Group membership and failure detection in the manner of SWIM: probing with suspicion and
+ * incarnation numbers, at a fixed cost per instance whatever the size of the fleet.
  */
 export { createMemberTable, isNewerUpdate } from './member-table.js';
 export type { Member, MemberTable, MemberUpdate } from './member-table.js';
--- a/packages/membership/src/member-table.ts
+++ b/packages/membership/src/member-table.ts
@@ -1,26 +1,28 @@
 /**
- * What one instance believes of the others. Beliefs are merged by incarnation number: only
- * an instance itself raises its own, so it can refute a wrong rumour about itself.
+ * One instance's view of the other members. Updates are merged by incarnation number. Only the
+ * instance itself raises its own number, so it can refute a false report about itself.
  */
 import { InstanceState } from '@lapisbridge/types';
 import type { InstanceRecord } from '@lapisbridge/types';
 
+/** State of one member as it is sent in gossip messages. */
 export interface MemberUpdate {
   readonly record: InstanceRecord;
   readonly incarnation: number;
   readonly state: InstanceState;
-  /** Configuration version that the member last said is in force there. */
+  /** Configuration version that the member last reported as in force. */
   readonly version: number;
 }
 
+/** A member as known to this instance. */
 export interface Member extends MemberUpdate {
-  /** Monotonic milliseconds at which this state was first believed here. */
+  /** Monotonic time at which this instance first saw the member in this state. */
   readonly stateSinceMilliseconds: number;
-  /** The platform's list says that the instance is being removed. */
+  /** Whether the platform's instance list shows the instance as being removed. */
   readonly listedLeaving: boolean;
 }
 
-/** At one incarnation the worse news wins, since better news comes with a higher one. */
+/** At equal incarnations the worse state wins, since a recovery always raises the incarnation. */
 const STATE_PRECEDENCE: Readonly<Record<InstanceState, number>> = {
   [InstanceState.Live]: 0,
   [InstanceState.Suspect]: 1,
@@ -28,6 +30,7 @@
   [InstanceState.Dead]: 3,
 };
 
+/** Whether the update replaces what is known of the member. */
 export function isNewerUpdate(known: MemberUpdate | undefined, update: MemberUpdate): boolean {
   if (known === undefined) return true;
   if (update.incarnation !== known.incarnation) return update.incarnation > known.incarnation;
@@ -40,9 +43,12 @@
   readonly size: number;
   get(instanceId: string): Member | undefined;
   all(): Iterable<Member>;
-  /** Merges an update; true when it was news. */
+  /** Merges an update; returns whether it changed the table. */
   merge(update: MemberUpdate, now: number): boolean;
-  /** Notes what the platform's list says; unknown instances enter with incarnation 0. */
+  /**
+   * Merges an entry of the platform's instance list; returns whether it changed the table. An
+   * unknown instance is added with incarnation 0, so that any update from it takes precedence.
+   */
   mergeListed(record: InstanceRecord, leaving: boolean, now: number): boolean;
   remove(instanceId: string): void;
 }
--- a/packages/membership/src/membership.test.ts
+++ b/packages/membership/src/membership.test.ts
@@ -1,5 +1,5 @@
 /**
- * Membership over a network that a test can cut, in simulated time.
+ * Membership in simulated time, over a network whose links a test can block.
  */
 import { InstanceState, Role } from '@lapisbridge/types';
 import type { InstanceRecord } from '@lapisbridge/types';
@@ -13,7 +13,7 @@
 
 interface Network {
   readonly probers: Map<string, Prober>;
-  /** Pairs "from>to" over which nothing passes. */
+  /** Links "from>to" that drop every message. */
   readonly blockedLinks: Set<string>;
   readonly stoppedInstances: Set<string>;
   readonly messages: { count: number };
@@ -34,7 +34,7 @@
   };
 }
 
-/** A small generator of its own, so that a failing seed can be repeated. */
+/** Deterministic generator, so that a failing run can be repeated from its seed. */
 function createSeededRandom(seed: number): () => number {
   let state = seed + 1;
   return () => {
@@ -113,9 +113,9 @@
 }
 
 describe('membership', () => {
-  it('finds a dead instance everywhere, and its restart too', () => {
-    // A process dies without a word. Entries that did not notice would go on choosing it, and
-    // each request sent there would lose a connect timeout.
+  it('detects a dead instance on all members, and its restart too', () => {
+    // A process dies without a leave announcement. Entries that do not detect this keep choosing
+    // it, and each request sent there waits for a connect timeout.
     fc.assert(
       fc.property(seedArbitrary, (seed) => {
         const network = createNetwork(NAMES, seed);
@@ -131,9 +131,9 @@
     );
   });
 
-  it('keeps an instance whose answers one other cannot hear', () => {
-    // An asymmetric cut: b hears a, and a does not hear b. On its own evidence a would declare b
-    // dead, and the whole fleet would stop using a healthy server.
+  it('keeps an instance whose messages do not reach one of the members', () => {
+    // A one-way link failure: b receives from a, but a receives nothing from b. Without indirect
+    // probes a would declare b dead, and the whole fleet would stop using a healthy server.
     fc.assert(
       fc.property(seedArbitrary, (seed) => {
         const network = createNetwork(NAMES, seed);
@@ -148,9 +148,9 @@
     );
   });
 
-  it('comes together again after an hour of two halves not hearing each other', () => {
-    // Regions lose each other for an hour, and each half declares the other dead. If nobody asked
-    // the dead again, the halves would stay apart for good after the network is back.
+  it('recovers from a partition of an hour between two halves', () => {
+    // A partition of an hour, in which each half declares the other dead. If dead members were
+    // never probed again, the halves would stay apart after the network has recovered.
     fc.assert(
       fc.property(seedArbitrary, (seed) => {
         const network = createNetwork(NAMES, seed);
@@ -169,7 +169,7 @@
     );
   });
 
-  it('spreads a goodbye without waiting for a probe to fail', () => {
+  it('spreads a leave announcement without waiting for a probe to fail', () => {
     const network = createNetwork(NAMES, 7);
     network.run(3000);
     network.probers.get('d')?.leave(network.now);
@@ -188,8 +188,8 @@
   });
 });
 
-describe('merging beliefs', () => {
-  it('ends in the same belief whatever the order and number of updates', () => {
+describe('merging updates', () => {
+  it('gives the same result whatever the order and number of updates', () => {
     const updates = fc.array(
       fc.record({
         record: fc.constant(record('x')),
--- a/packages/membership/src/prober.ts
+++ b/packages/membership/src/prober.ts
@@ -1,9 +1,9 @@
 /**
- * Probing with suspicion: at each period one member is pinged; without an answer a few
- * others are asked to ping it, and without theirs it is suspected. A suspect that does not
- * refute in time counts as dead. Cost per instance and period is fixed whatever the fleet's
- * size. No sockets and no clock here: time and messages are passed in, so that a test can
- * run any interleaving.
+ * SWIM failure detector with suspicion. In each period one member is pinged. If it does not
+ * acknowledge, a few other members are asked to ping it, and if that fails too it becomes
+ * suspect. A suspect that does not refute in time counts as dead. The cost per instance and
+ * period does not depend on the fleet's size. The module uses no sockets and no clock: time and
+ * messages are passed in, so that a test can run any interleaving.
  */
 import { InstanceState } from '@lapisbridge/types';
 import type { InstanceRecord } from '@lapisbridge/types';
@@ -14,14 +14,19 @@
 import type { Member, MemberUpdate } from './member-table.js';
 import { createUpdateQueue } from './update-queue.js';
 
+/** Number of members asked for indirect probes, and of members pinged with an urgent update. */
 const INDIRECT_PROBE_COUNT = 3;
-/** Updates on one message: keeps a datagram below a usual path's 1,400 bytes. */
+/** Keeps a datagram below 1,400 bytes, which a usual network path carries unfragmented. */
 const UPDATES_PER_MESSAGE = 4;
-/** Share of messages that also carry a known member in passing. */
+/** Probability that a message with room left also carries the state of a random member. */
 const RANDOM_MEMBER_PROBABILITY = 0.25;
-/** Share of periods in which a dead member is pinged too, so that two sides of a healed cut find each other. */
+/**
+ * Probability per period of also pinging a dead member, so that the two sides of a healed
+ * partition find each other.
+ */
 const DEAD_PROBE_PROBABILITY = 0.25;
 
+/** The direct probe of the current period; `indirect` once other members were asked. */
 interface PendingProbe {
   readonly target: string;
   readonly sequence: number;
@@ -29,21 +34,25 @@
   indirect: boolean;
 }
 
+/** A ping sent on behalf of another member, whose ack is forwarded to it. */
 interface RelayedProbe {
   readonly requester: InstanceRecord;
   readonly requesterSequence: number;
   readonly startedAt: number;
 }
 
+/** Failure detector of one instance; every `now` is in monotonic milliseconds. */
 export interface Prober {
   members(): Iterable<Member>;
   member(instanceId: string): Member | undefined;
+  /** Advances timeouts and starts the next probe when it is due. */
   tick(now: number): void;
   receive(message: GossipMessage, now: number): void;
+  /** Merges an entry of the platform's instance list. */
   mergeListed(record: InstanceRecord, leaving: boolean, now: number): void;
-  /** Announces that this instance leaves; the rest hears it with the next messages. */
+  /** Announces that this instance is leaving: at once to a few members, to others by gossip. */
   leave(now: number): void;
-  /** Announces the configuration version in force here. */
+  /** Announces the configuration version in force here; a version that is not higher is ignored. */
   announceVersion(version: number): void;
 }
 
@@ -77,7 +86,7 @@
     options.onChange(table.get(update.record.instanceId) as Member);
   }
 
-  /** A rumour that we are suspect or dead: answered by a higher incarnation of our own. */
+  /** Refutes a report that this instance is suspect or dead by raising its own incarnation. */
   function refute(update: MemberUpdate): void {
     const reportsWorseState =
       update.state !== InstanceState.Live && ownUpdate.state === InstanceState.Live;
@@ -91,7 +100,10 @@
     queue.add(ownUpdate);
   }
 
-  /** Fresh updates first, then members in passing, which repairs what was missed before. */
+  /**
+   * Queued updates first, then sometimes a random member, which repairs updates that were lost. A
+   * receiver that is not known as live gets its own state first, so that it can refute it.
+   */
   function updatesFor(receiver: string): readonly MemberUpdate[] {
     const updates = [...queue.take(UPDATES_PER_MESSAGE, table.size)];
     const knownReceiver = table.get(receiver);
@@ -120,7 +132,7 @@
     });
   }
 
-  /** Pings a few members out of turn, because there is news. */
+  /** Pings a few random members at once to spread an urgent update. */
   function pingRandomMembers(): void {
     const members = [...table.all()].filter(isProbeTarget);
     for (let count = 0; count < INDIRECT_PROBE_COUNT && members.length > 0; count += 1) {
@@ -132,6 +144,7 @@
     }
   }
 
+  /** Visits the members that are not dead in random order; each round has a new order. */
   function nextTarget(): Member | undefined {
     while (probeOrder.length > 0) {
       const member = table.get(probeOrder.pop() as string);
@@ -274,7 +287,8 @@
       if (version <= ownUpdate.version) return;
       ownUpdate = { ...ownUpdate, version };
       queue.add(ownUpdate);
-      // Operators wait to see their change in force everywhere; the next probe may be a second off.
+      // Operators wait until their change is in force everywhere, and the next probe may be a
+      // second away.
       pingRandomMembers();
     },
   };
--- a/packages/membership/src/udp-membership.ts
+++ b/packages/membership/src/udp-membership.ts
@@ -1,5 +1,5 @@
 /**
- * Runs the prober over UDP and seeds it from the platform's lagging instance list.
+ * Runs the prober over UDP and seeds it from the platform's instance list, which lags behind.
  */
 import { createSocket } from 'node:dgram';
 import type { Socket } from 'node:dgram';
@@ -16,9 +16,10 @@
 
 const TICK_PERIOD_MILLISECONDS = 250;
 const LIST_POLL_MILLISECONDS = 2500;
-/** Messages sent while leaving, so that one lost datagram does not hide it. */
+/** Repetitions of the leave announcement, so that one lost datagram does not suppress it. */
 const LEAVE_ANNOUNCEMENTS = 3;
 
+/** An entry of the platform's instance list. */
 export interface ListedInstanceView {
   readonly record: InstanceRecord;
   readonly state: InstanceState.Live | InstanceState.Leaving;
@@ -27,23 +28,28 @@
 export interface MembershipOptions {
   readonly self: InstanceRecord;
   readonly clock: MonotonicClock;
+  /** Uniform in [0, 1). */
   readonly random: () => number;
+  /** Reads the platform's instance list; a failed read is ignored until the next poll. */
   listInstances(): Promise<readonly ListedInstanceView[]>;
+  /** Digest of the shared state, sent with every message. */
   stateDigest(): string;
   onChange(member: Member): void;
   onPeerDigest(peer: InstanceRecord, digest: string): void;
-  /** The platform's list names this instance as leaving. */
+  /** Called at each poll in which the platform's list shows this instance as leaving. */
   onOwnLeaving?(): void;
 }
 
 export interface Membership {
+  /** Binds the UDP socket and reads the list once; rejects if the address cannot be bound. */
   start(): Promise<void>;
+  /** Announces that this instance is leaving, then closes the socket. */
   stop(): Promise<void>;
   members(): Iterable<Member>;
   member(instanceId: string): Member | undefined;
   announceVersion(version: number): void;
   announceLeaving(): void;
-  /** Bytes and messages since the start, for metrics and the capacity page. */
+  /** Messages and encoded bytes since the start, for metrics and capacity planning. */
   readonly traffic: GossipTraffic;
 }
 
@@ -73,13 +79,14 @@
     const bytes = codec.encode(message);
     traffic.sentMessages += 1;
     traffic.sentBytes += bytes.length;
-    // An unreachable peer is what probing is there to notice, so send errors are not raised.
+    // Send errors are ignored: probing detects unreachable peers.
     socket?.send(bytes, to.peerPort, to.host, () => undefined);
   }
 
   const prober: Prober = createProber({
     self,
-    // Wall-clock seconds only seed the number: a restarted instance must start above its past one.
+    // Wall-clock seconds serve only as the first value: a restarted instance must start above the
+    // incarnation of its earlier run.
     incarnation: Math.floor(Date.now() / 1000),
     random: options.random,
     send,
@@ -96,7 +103,7 @@
       message = codec.decode(bytes) as GossipMessage;
       if (message.from.record.environment !== self.environment) return;
     } catch {
-      // A stray datagram on the port; nothing of ours is lost with it.
+      // A malformed datagram does not come from a member and can be dropped.
       return;
     }
     prober.receive(message, clock());
@@ -110,7 +117,7 @@
         prober.mergeListed(record, leaving, clock());
       }
     } catch {
-      // The list is only a seed: gossip goes on with what is known.
+      // The list only seeds the member table; gossip continues with the known members.
     }
   }
 
--- a/packages/membership/src/update-queue.ts
+++ b/packages/membership/src/update-queue.ts
@@ -1,7 +1,7 @@
 /**
- * Updates that still have to be passed on. Each rides on a number of messages that grows
- * with the logarithm of the fleet's size, least-sent first, which spreads it to everyone
- * with a fixed cost per message.
+ * Queue of updates to piggyback on gossip messages. Each update is sent on a number of messages
+ * that grows with the logarithm of the fleet's size, least-sent updates first. This spreads it
+ * to all members at a fixed cost per message.
  */
 import type { MemberUpdate } from './member-table.js';
 
@@ -9,8 +9,9 @@
 
 export interface UpdateQueue {
   readonly size: number;
+  /** Queues an update; replaces an earlier one of the same member. */
   add(update: MemberUpdate): void;
-  /** Up to `count` updates for the next message to a fleet of `fleetSize`. */
+  /** Takes up to `count` updates for the next message; `fleetSize` is the number of members. */
   take(count: number, fleetSize: number): readonly MemberUpdate[];
 }
 
