--- a/packages/entry/src/operator/accept-document.ts
+++ b/packages/entry/src/operator/accept-document.ts
@@ -40,7 +40,7 @@
 
 /** Says who changed what since the version the operator looked at. */
 function conflictError(base: number, result: ApplyResult, baseText: string): LapisError {
-  const { standing } = result;
+  const { current: standing } = result;
   if (standing === undefined) {
     return new LapisError(ResultCode.VersionConflict, `there is no version ${base} to build on`);
   }
--- a/packages/instance/src/instance.ts
+++ b/packages/instance/src/instance.ts
@@ -99,7 +99,7 @@
   }
 
   function heardDigest(digest: string, channel: Channel): void {
-    sync.heard(digest, () => channel.send({ kind: MessageKind.StateRequest }));
+    sync.handlePeerDigest(digest, () => channel.send({ kind: MessageKind.StateRequest }));
   }
 
   async function fetchState(peer: InstanceRecord): Promise<void> {
@@ -126,7 +126,7 @@
       handlers.onMemberChange(member);
     },
     onPeerDigest(peer, digest) {
-      sync.heard(digest, () => void fetchState(peer));
+      sync.handlePeerDigest(digest, () => void fetchState(peer));
     },
     onOwnLeaving: () => handlers.onOwnLeaving(),
   });
--- a/packages/shared-state/src/drain-orders.ts
+++ b/packages/shared-state/src/drain-orders.ts
@@ -51,8 +51,8 @@
 
 /** Text that is equal exactly when two maps are. */
 export function ordersFingerprint(orders: DrainOrders): string {
-  const parts = Object.entries(orders).map(
+  const entries = Object.entries(orders).map(
     ([key, order]) => `${key}=${order.state}@${order.counter}/${order.author}`,
   );
-  return parts.sort().join(',');
+  return entries.sort().join(',');
 }
--- a/packages/shared-state/src/index.ts
+++ b/packages/shared-state/src/index.ts
@@ -5,7 +5,7 @@
 export type { DrainOrder, DrainOrders } from './drain-orders.js';
 export { createSharedState } from './shared-state.js';
 export type { Configuration, SharedState } from './shared-state.js';
-export { formatDigest, parseDigest, peerIsAhead } from './state-digest.js';
+export { formatDigest, parseDigest, peerMayBeAhead } from './state-digest.js';
 export type { StateDigest } from './state-digest.js';
 export { ApplyOutcome, createStateStore } from './state-store.js';
 export type { ApplyResult, StateStore, StoredChange, StoredDocument } from './state-store.js';
--- a/packages/shared-state/src/shared-state.test.ts
+++ b/packages/shared-state/src/shared-state.test.ts
@@ -15,13 +15,13 @@
   createStateStore,
   mergeOrders,
   nextCounter,
-  peerIsAhead,
+  peerMayBeAhead,
 } from './index.js';
 import type { DrainOrder, DrainOrders, StoredDocument } from './index.js';
 
 const TEXT = readFileSync(new URL('../../../examples/brno.json', import.meta.url), 'utf8');
 
-function stored(changeId: string): StoredDocument {
+function createDocument(changeId: string): StoredDocument {
   return { changeId, author: changeId, acceptedAt: '', text: TEXT };
 }
 
@@ -56,9 +56,9 @@
   it('merge to the same map in any order and any number of times', () => {
     fc.assert(
       fc.property(orders, orders, orders, (left, middle, right) => {
-        const one = mergeOrders(mergeOrders(left, middle), right);
-        const other = mergeOrders(right, mergeOrders(middle, mergeOrders(left, right)));
-        expect(other).toEqual(one);
+        const leftToRight = mergeOrders(mergeOrders(left, middle), right);
+        const rightToLeft = mergeOrders(right, mergeOrders(middle, mergeOrders(left, right)));
+        expect(rightToLeft).toEqual(leftToRight);
       }),
     );
   });
@@ -116,21 +116,21 @@
             pause: (label) => scheduler.schedule(Promise.resolve(), label),
           });
           const store = createStateStore(table);
-          const told: ApplyOutcome[] = [];
+          const outcomes: ApplyOutcome[] = [];
           const operators = Array.from({ length: count }, async (_, index) => {
-            const result = await store.apply('brno', 0, stored(`change-${index}`));
-            told[index] = result.outcome;
+            const result = await store.apply('brno', 0, createDocument(`change-${index}`));
+            outcomes[index] = result.outcome;
           });
           await scheduler.waitFor(Promise.all(operators));
           await scheduler.waitAll();
-          const standing = table.state.read('documents/brno');
-          for (const [index, outcome] of told.entries()) {
-            const stands =
-              (standing?.value as StoredDocument | undefined)?.changeId === `change-${index}`;
-            if (outcome === ApplyOutcome.Accepted) expect(stands).toBe(true);
-            if (outcome === ApplyOutcome.Conflict) expect(stands).toBe(false);
+          const current = table.state.read('documents/brno');
+          for (const [index, outcome] of outcomes.entries()) {
+            const isInForce =
+              (current?.value as StoredDocument | undefined)?.changeId === `change-${index}`;
+            if (outcome === ApplyOutcome.Accepted) expect(isInForce).toBe(true);
+            if (outcome === ApplyOutcome.Conflict) expect(isInForce).toBe(false);
           }
-          expect(standing?.version ?? 0).toBeLessThanOrEqual(1);
+          expect(current?.version ?? 0).toBeLessThanOrEqual(1);
         },
       ),
       { numRuns: 300 },
@@ -158,11 +158,11 @@
     const older = createSharedState('brno', createSilentLogger());
     newer.adopt(2, 'two', TEXT);
     older.adopt(1, 'one', TEXT);
-    expect(peerIsAhead(older.digest, newer.digest)).toBe(true);
-    expect(peerIsAhead(newer.digest, older.digest)).toBe(false);
+    expect(peerMayBeAhead(older.digest, newer.digest)).toBe(true);
+    expect(peerMayBeAhead(newer.digest, older.digest)).toBe(false);
     older.merge(newer.serialize());
     expect(older.configuration?.version).toBe(2);
-    expect(peerIsAhead(older.digest, newer.digest)).toBe(false);
+    expect(peerMayBeAhead(older.digest, newer.digest)).toBe(false);
   });
 
   it('of another environment is refused', () => {
--- a/packages/shared-state/src/shared-state.ts
+++ b/packages/shared-state/src/shared-state.ts
@@ -21,7 +21,7 @@
   readonly document: EnvironmentDocument;
 }
 
-interface WireState {
+interface SerializedState {
   readonly version: number;
   readonly changeId: string;
   readonly text: string;
@@ -52,20 +52,20 @@
   let digest = formatDigest(0, {});
   const listeners: (() => void)[] = [];
 
-  function changed(): void {
+  function notifyListeners(): void {
     serialized = undefined;
     digest = formatDigest(configuration?.version ?? 0, orders);
     for (const listener of listeners) listener();
   }
 
-  function stateOf(kind: DrainTargetKind, target: string): ServiceState {
+  function targetState(kind: DrainTargetKind, target: string): ServiceState {
     const key = orderKey({ targetKind: kind, target });
     return orders[key]?.state ?? ServiceState.InService;
   }
 
-  function logOrders(before: DrainOrders): void {
+  function logChangedOrders(previousOrders: DrainOrders): void {
     for (const [key, order] of Object.entries(orders)) {
-      if (before[key] !== order) logOrder(order);
+      if (previousOrders[key] !== order) logOrder(order);
     }
   }
 
@@ -112,25 +112,25 @@
         choice: `version ${version}`,
         reason: 'highest version seen',
       });
-      changed();
+      notifyListeners();
       return true;
     },
-    mergeOrders(given) {
-      const before = orders;
+    mergeOrders(incomingOrders) {
+      const previousOrders = orders;
       const previousDigest = digest;
-      orders = mergeOrders(orders, given);
+      orders = mergeOrders(orders, incomingOrders);
       if (formatDigest(configuration?.version ?? 0, orders) === previousDigest) return;
-      logOrders(before);
-      changed();
+      logChangedOrders(previousOrders);
+      notifyListeners();
     },
     merge(received) {
-      const wire = JSON.parse(inflateRawSync(received).toString('utf8')) as WireState;
+      const wire = JSON.parse(inflateRawSync(received).toString('utf8')) as SerializedState;
       if (wire.version > 0) state.adopt(wire.version, wire.changeId, wire.text);
       state.mergeOrders(wire.orders);
     },
     serialize() {
       if (serialized !== undefined) return serialized;
-      const wire: WireState = {
+      const wire: SerializedState = {
         version: configuration?.version ?? 0,
         changeId: configuration?.changeId ?? '',
         text: documentText,
@@ -144,8 +144,8 @@
     },
     isDrained(instanceId, availabilityZone) {
       return (
-        stateOf(DrainTargetKind.Instance, instanceId) === ServiceState.Drained ||
-        stateOf(DrainTargetKind.AvailabilityZone, availabilityZone) === ServiceState.Drained
+        targetState(DrainTargetKind.Instance, instanceId) === ServiceState.Drained ||
+        targetState(DrainTargetKind.AvailabilityZone, availabilityZone) === ServiceState.Drained
       );
     },
   };
--- a/packages/shared-state/src/state-digest.ts
+++ b/packages/shared-state/src/state-digest.ts
@@ -24,8 +24,8 @@
 }
 
 /** Whether the peer with this digest may know something that we do not. */
-export function peerIsAhead(own: string, peer: string): boolean {
-  const left = parseDigest(own);
-  const right = parseDigest(peer);
-  return right.version > left.version || right.ordersHash !== left.ordersHash;
+export function peerMayBeAhead(own: string, peer: string): boolean {
+  const ownDigest = parseDigest(own);
+  const peerDigest = parseDigest(peer);
+  return peerDigest.version > ownDigest.version || peerDigest.ordersHash !== ownDigest.ordersHash;
 }
--- a/packages/shared-state/src/state-store.ts
+++ b/packages/shared-state/src/state-store.ts
@@ -31,7 +31,7 @@
   readonly outcome: ApplyOutcome;
   readonly version: number;
   /** On a conflict: the change that stands. */
-  readonly standing?: StoredChange;
+  readonly current?: StoredChange;
 }
 
 export interface StateStore {
@@ -50,7 +50,7 @@
 
 const DOCUMENTS_PREFIX = 'documents/';
 const VERSION_DIGITS = 9;
-const MAXIMUM_ROUNDS = 8;
+const MAXIMUM_WRITE_ATTEMPTS = 8;
 
 function documentKey(environment: string): string {
   return `${DOCUMENTS_PREFIX}${environment}`;
@@ -80,7 +80,7 @@
   }
 
   /** After a lost answer: the change's own row tells whether the write took effect. */
-  async function readBackApply(
+  async function resolveUnknownApply(
     environment: string,
     baseVersion: number,
     changeId: string,
@@ -88,18 +88,21 @@
     try {
       // The document first: once it has moved on, an absent change row can never appear. Read the
       // other way round, a late write between the two reads would be told as somebody else's.
-      const standing = toChange(await table.read(documentKey(environment)));
-      const own = await table.read(changeKey(environment, changeId));
-      if (own !== null) {
-        return { outcome: ApplyOutcome.Accepted, version: (own.value as StoredChange).version };
+      const current = toChange(await table.read(documentKey(environment)));
+      const ownChange = await table.read(changeKey(environment, changeId));
+      if (ownChange !== null) {
+        return {
+          outcome: ApplyOutcome.Accepted,
+          version: (ownChange.value as StoredChange).version,
+        };
       }
-      const version = standing?.version ?? 0;
+      const version = current?.version ?? 0;
       // At the base version still, the write may be on its way and take effect after this read.
       if (version === baseVersion) return { outcome: ApplyOutcome.Unknown, version };
       return {
         outcome: ApplyOutcome.Conflict,
         version,
-        ...(standing === null ? {} : { standing }),
+        ...(current === null ? {} : { current }),
       };
     } catch {
       return { outcome: ApplyOutcome.Unknown, version: baseVersion };
@@ -141,7 +144,7 @@
       } catch {
         // Fall through: the answer was lost, so the table itself is asked.
       }
-      return readBackApply(environment, baseVersion, changeId);
+      return resolveUnknownApply(environment, baseVersion, changeId);
     },
     async readOrders(environment) {
       const row = await table.read(ordersKey(environment));
@@ -149,7 +152,7 @@
     },
     async writeOrders(environment, orders) {
       const key = ordersKey(environment);
-      for (let round = 0; round < MAXIMUM_ROUNDS; round += 1) {
+      for (let attempt = 0; attempt < MAXIMUM_WRITE_ATTEMPTS; attempt += 1) {
         const row = await table.read(key).catch(() => undefined);
         if (row === undefined) return false;
         const stored = (row?.value ?? {}) as DrainOrders;
--- a/packages/shared-state/src/state-sync.test.ts
+++ b/packages/shared-state/src/state-sync.test.ts
@@ -22,15 +22,15 @@
       random: () => 0.5,
       writesOrders: false,
     });
-    const asked: string[] = [];
+    const fetches: string[] = [];
     await new Promise<void>((resolve) => {
-      sync.heard('1:x', () => void asked.push('first'));
-      sync.heard('2:x', () => {
-        asked.push('second');
+      sync.handlePeerDigest('1:x', () => void fetches.push('first'));
+      sync.handlePeerDigest('2:x', () => {
+        fetches.push('second');
         resolve();
       });
     });
     sync.stop();
-    expect(asked).toEqual(['first', 'second']);
+    expect(fetches).toEqual(['first', 'second']);
   });
 });
--- a/packages/shared-state/src/state-sync.ts
+++ b/packages/shared-state/src/state-sync.ts
@@ -7,7 +7,7 @@
 
 import { ordersFingerprint } from './drain-orders.js';
 import type { SharedState } from './shared-state.js';
-import { peerIsAhead } from './state-digest.js';
+import { peerMayBeAhead } from './state-digest.js';
 import type { StateStore } from './state-store.js';
 
 export interface StateSyncOptions {
@@ -25,24 +25,24 @@
   start(): Promise<void>;
   stop(): void;
   /** Tells of a peer's digest; `fetch` asks that peer for its state. */
-  heard(peerDigest: string, fetch: () => void): void;
+  handlePeerDigest(peerDigest: string, fetchState: () => void): void;
   /** Reads the table now; false when it did not answer. */
   poll(): Promise<boolean>;
 }
 
 const POLL_MILLISECONDS = 15_000;
 /** Until a first configuration is known the table is asked often. */
-const EAGER_POLL_MILLISECONDS = 500;
+const INITIAL_POLL_MILLISECONDS = 500;
 /** One fetch at a time: many peers announce the same version at once. */
-const FETCH_MILLISECONDS = 300;
+const FETCH_INTERVAL_MILLISECONDS = 300;
 
 export function createStateSync(options: StateSyncOptions): StateSync {
   const { environment, state, store, logger } = options;
   const pollMilliseconds = options.pollMilliseconds ?? POLL_MILLISECONDS;
-  let timer: NodeJS.Timeout | undefined;
+  let pollTimer: NodeJS.Timeout | undefined;
   let stopped = false;
-  let lastFetch = -Infinity;
-  let waiting: NodeJS.Timeout | undefined;
+  let lastFetchAt = -Infinity;
+  let fetchTimer: NodeJS.Timeout | undefined;
 
   async function poll(): Promise<boolean> {
     try {
@@ -52,8 +52,9 @@
       }
       const orders = await store.readOrders(environment);
       state.mergeOrders(orders);
-      const unsaved = ordersFingerprint(state.orders) !== ordersFingerprint(orders);
-      if (unsaved && options.writesOrders) await store.writeOrders(environment, state.orders);
+      const hasUnsavedOrders = ordersFingerprint(state.orders) !== ordersFingerprint(orders);
+      if (hasUnsavedOrders && options.writesOrders)
+        await store.writeOrders(environment, state.orders);
       return true;
     } catch (thrown) {
       logger.debug('state poll failed', { reason: (thrown as Error).message });
@@ -65,25 +66,27 @@
    * Asks at once, or as soon as the pause since the last question is over. A digest that was
    * dropped instead would be heard again only with the peer's next heartbeat, seconds later.
    */
-  function heard(peerDigest: string, fetch: () => void): void {
-    if (!peerIsAhead(state.digest, peerDigest)) return;
+  function handlePeerDigest(peerDigest: string, fetchState: () => void): void {
+    if (!peerMayBeAhead(state.digest, peerDigest)) return;
     const now = performance.now();
-    const pause = lastFetch + FETCH_MILLISECONDS - now;
-    if (pause <= 0) {
-      lastFetch = now;
-      fetch();
+    const delayMilliseconds = lastFetchAt + FETCH_INTERVAL_MILLISECONDS - now;
+    if (delayMilliseconds <= 0) {
+      lastFetchAt = now;
+      fetchState();
       return;
     }
-    clearTimeout(waiting);
-    waiting = setTimeout(() => heard(peerDigest, fetch), pause);
+    clearTimeout(fetchTimer);
+    fetchTimer = setTimeout(() => handlePeerDigest(peerDigest, fetchState), delayMilliseconds);
   }
 
   function schedule(): void {
     if (stopped) return;
-    const known = state.configuration !== undefined;
-    const period = known ? pollMilliseconds : Math.min(EAGER_POLL_MILLISECONDS, pollMilliseconds);
+    const hasConfiguration = state.configuration !== undefined;
+    const period = hasConfiguration
+      ? pollMilliseconds
+      : Math.min(INITIAL_POLL_MILLISECONDS, pollMilliseconds);
     const jittered = period * (0.5 + options.random());
-    timer = setTimeout(() => void poll().then(schedule), jittered);
+    pollTimer = setTimeout(() => void poll().then(schedule), jittered);
   }
 
   return {
@@ -93,10 +96,10 @@
     },
     stop() {
       stopped = true;
-      clearTimeout(timer);
-      clearTimeout(waiting);
+      clearTimeout(pollTimer);
+      clearTimeout(fetchTimer);
     },
-    heard,
+    handlePeerDigest,
     poll,
   };
 }
