--- a/packages/shared-state/src/drain-orders.ts
+++ b/packages/shared-state/src/drain-orders.ts
@@ -1,8 +1,8 @@
 /**
- * Drain orders as a map of last-writer-wins registers. Each order carries a counter above
- * every counter its author had seen; ties go to the greater author. Merging in any order,
- * any number of times, gives the same map, so orders can spread by gossip while the store
- * is down and be written to it later.
+ * Drain orders as a map of last-writer-wins registers. The counter of an order is higher than every
+ * counter its author had seen; ties go to the greater author name. Merging is commutative,
+ * associative and idempotent, so orders can spread by gossip while the store is unavailable and be
+ * written to it later.
  */
 import type { DrainTargetKind, ServiceState } from '@lapisbridge/types';
 
@@ -41,15 +41,15 @@
 }
 
 /**
- * Counter of a new order: above all that are known, and at least the wall clock, so that of
- * two orders given through entries that cannot hear each other the later one wins, as far as
- * their clocks agree. Clocks that disagree cost that order, never the merging.
+ * Counter of a new order: higher than all known counters, and at least the wall clock. Of two
+ * orders given through entries that cannot reach each other, the later one then wins as far as
+ * their clocks agree. Clock skew can make the earlier one win, but never affects merging.
  */
 export function nextCounter(orders: DrainOrders, wallClockMilliseconds: number): number {
   return Math.max(highestCounter(orders) + 1, wallClockMilliseconds);
 }
 
-/** Text that is equal exactly when two maps are. */
+/** Canonical text of the orders: equal for two maps exactly if their orders are equal. */
 export function ordersFingerprint(orders: DrainOrders): string {
   const entries = Object.entries(orders).map(
     ([key, order]) => `${key}=${order.state}@${order.counter}/${order.author}`,
--- a/packages/shared-state/src/index.ts
+++ b/packages/shared-state/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Configuration and drain orders, shared by all processes of an environment.
+ * The configuration and the drain orders, replicated to all processes of an environment.
  */
 export { mergeOrders, nextCounter, orderKey, ordersFingerprint } from './drain-orders.js';
 export type { DrainOrder, DrainOrders } from './drain-orders.js';
--- a/packages/shared-state/src/shared-state.test.ts
+++ b/packages/shared-state/src/shared-state.test.ts
@@ -1,5 +1,5 @@
 /**
- * Configuration versions and drain orders under races, lost answers and partitions.
+ * Configuration versions and drain orders under races, lost replies and partitions.
  */
 import { readFileSync } from 'node:fs';
 
@@ -37,7 +37,7 @@
     { maxLength: 6 },
   )
   .map((list) => {
-    // One author gives one counter to one target once, so equal pairs mean equal orders.
+    // An author uses a counter only once per target, so orders with equal identity are equal.
     const byIdentity = new Map<string, DrainOrder>();
     for (const order of list) {
       const identity = `${order.targetKind}:${order.target}:${order.counter}:${order.author}`;
@@ -64,17 +64,17 @@
   });
 
   it('win over older orders that have not arrived here yet', () => {
-    // An operator restores a zone through one entry and another one drains it through a second
-    // entry, which has not heard of the first order. With equal counters the author's name decided,
-    // and the newer order silently lost although its operator was told that it is in force.
+    // One operator restores a zone through one entry, and another drains it through a second entry
+    // that has not received the first order. With equal counters the author's name decided, and the
+    // newer order was silently lost although its operator was told that it is in force.
     expect(nextCounter({}, 2000)).toBeGreaterThan(nextCounter({}, 1999));
     const known = { x: { ...({} as DrainOrder), counter: 5000 } };
     expect(nextCounter(known, 2000)).toBe(5001);
   });
 
   it('are not lost when two entries write different ones at once', async () => {
-    // Two operators drain two zones through two entries at the same moment. A plain write of one
-    // entry would undo the other's, and a drained zone would get work again.
+    // Two operators drain two zones through two entries at once. An unconditional write by one
+    // entry would overwrite the other's, and a drained zone would receive requests again.
     const table = createFakeTable();
     const store = createStateStore(table);
     const order = (target: string, author: string): DrainOrders => ({
@@ -98,9 +98,9 @@
 });
 
 describe('the configuration', () => {
-  it('has one winner among racing operators, and nobody is told what is not so', async () => {
-    // Operators race on one version while the table loses answers. Two winners would each believe
-    // that their document is in force; a loser told "accepted" would find its change gone.
+  it('has one winner among racing operators, and no operator gets a false outcome', async () => {
+    // Operators race on one version while the table loses replies. With two winners, each would
+    // assume its document is in force; a loser that got "accepted" would find its change missing.
     await fc.assert(
       fc.asyncProperty(
         fc.scheduler(),
@@ -137,9 +137,9 @@
     );
   });
 
-  it('never goes back, whatever peers and replicas offer in whatever order', () => {
-    // An instance was frozen through two changes, or a restarted peer still holds an old version.
-    // Taking it over would bring back accounts and limits that operators have replaced.
+  it('never reverts, whatever peers and replicas offer in whatever order', () => {
+    // An instance was suspended during two changes, or a restarted peer still has an old version.
+    // Adopting it would restore accounts and limits that operators have replaced.
     fc.assert(
       fc.property(fc.array(fc.integer({ min: 1, max: 9 }), { minLength: 1 }), (versions) => {
         const state = createSharedState('brno', createSilentLogger());
@@ -153,7 +153,7 @@
     );
   });
 
-  it('is taken from a peer that is ahead, and only then asked for', () => {
+  it('is merged from a peer that is ahead, and only then fetched', () => {
     const newer = createSharedState('brno', createSilentLogger());
     const older = createSharedState('brno', createSilentLogger());
     newer.adopt(2, 'two', TEXT);
--- a/packages/shared-state/src/shared-state.ts
+++ b/packages/shared-state/src/shared-state.ts
@@ -1,7 +1,7 @@
 /**
- * What every process of an environment must agree on in the end: the configuration document
- * in force and the drain orders. Versions only grow; a lower one is refused wherever it
- * comes from, so an accepted configuration never reverts.
+ * The eventually consistent state of an environment: the configuration document in force and the
+ * drain orders. Configuration versions only grow. A lower version is rejected whatever its source,
+ * so an accepted configuration never reverts.
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 
@@ -21,6 +21,7 @@
   readonly document: EnvironmentDocument;
 }
 
+/** The state as it is sent between processes, as deflated JSON. */
 interface SerializedState {
   readonly version: number;
   readonly changeId: string;
@@ -31,16 +32,19 @@
 export interface SharedState {
   readonly configuration: Configuration | undefined;
   readonly orders: DrainOrders;
+  /** Digest for heartbeats and gossip, see `formatDigest`. */
   readonly digest: string;
-  /** Document text as accepted, for operators. */
+  /** Text of the configuration document as accepted; empty while there is none. */
   readonly documentText: string;
+  /** Puts a valid document of a higher version in force; returns whether it did so. */
   adopt(version: number, changeId: string, text: string): boolean;
   mergeOrders(orders: DrainOrders): void;
-  /** Merges what a peer sent. */
+  /** Merges a peer's serialized state; throws if the bytes cannot be inflated or parsed. */
   merge(serialized: Uint8Array): void;
-  /** Deflated JSON: a document of thousands of accounts is large and is sent to every instance. */
+  /** Deflated, since a document of thousands of accounts is large and is sent to every instance. */
   serialize(): Uint8Array;
   onChange(listener: () => void): void;
+  /** Whether the instance or its availability zone is drained. */
   isDrained(instanceId: string, availabilityZone: string): boolean;
 }
 
@@ -92,7 +96,7 @@
       return documentText;
     },
     adopt(version, changeId, text) {
-      // A store replica, a late reply or an old peer may offer an earlier version.
+      // A store replica, a delayed reply or an outdated peer may offer an earlier version.
       if (version <= (configuration?.version ?? 0)) return false;
       const checked = checkDocument(text);
       if (checked.isLeft()) {
--- a/packages/shared-state/src/state-digest.ts
+++ b/packages/shared-state/src/state-digest.ts
@@ -1,6 +1,6 @@
 /**
- * A short digest of the shared state that rides on every heartbeat and gossip message. The
- * configuration version stands in clear, so that a receiver knows who is behind.
+ * A short digest of the shared state, included in every heartbeat and gossip message. It contains
+ * the configuration version itself, so that a receiver can tell who is behind.
  */
 import createXxhash from 'xxhash-wasm';
 
@@ -14,6 +14,7 @@
   readonly ordersHash: string;
 }
 
+/** Formats a digest as `version:hash`, with the hash of the drain orders in hexadecimal. */
 export function formatDigest(version: number, orders: DrainOrders): string {
   return `${version}:${xxhash.h64ToString(ordersFingerprint(orders))}`;
 }
@@ -23,7 +24,7 @@
   return { version: Number(version), ordersHash };
 }
 
-/** Whether the peer with this digest may know something that we do not. */
+/** Whether the peer may have a newer configuration or drain orders that are missing here. */
 export function peerMayBeAhead(own: string, peer: string): boolean {
   const ownDigest = parseDigest(own);
   const peerDigest = parseDigest(peer);
--- a/packages/shared-state/src/state-store.ts
+++ b/packages/shared-state/src/state-store.ts
@@ -1,5 +1,5 @@
 /**
- * The shared state's rows at the platform's table: the document with its version, its
+ * The shared state's rows in the platform's table: the document with its version, its
  * history by version and by change id, and the drain orders.
  */
 import { writeConditionally, WriteOutcome } from '@lapisbridge/platform';
@@ -11,7 +11,7 @@
 export interface StoredDocument {
   readonly changeId: string;
   readonly author: string;
-  /** Wall-clock time for people to read; never compared. */
+  /** Wall-clock time, for display only; never compared. */
   readonly acceptedAt: string;
   readonly text: string;
 }
@@ -30,7 +30,7 @@
 export interface ApplyResult {
   readonly outcome: ApplyOutcome;
   readonly version: number;
-  /** On a conflict: the change that stands. */
+  /** On a conflict: the change in force. */
   readonly current?: StoredChange;
 }
 
@@ -41,10 +41,10 @@
   readVersion(environment: string, version: number): Promise<StoredChange | null>;
   readChange(environment: string, changeId: string): Promise<StoredChange | null>;
   history(environment: string): Promise<readonly StoredChange[]>;
-  /** Accepts a document on top of the version that its operator looked at. */
+  /** Stores a document as the version after `baseVersion`, the one that its operator saw. */
   apply(environment: string, baseVersion: number, document: StoredDocument): Promise<ApplyResult>;
   readOrders(environment: string): Promise<DrainOrders>;
-  /** Merges orders into the stored ones; true once they are known to stand there. */
+  /** Merges orders into the stored ones; returns whether they are known to be stored. */
   writeOrders(environment: string, orders: DrainOrders): Promise<boolean>;
 }
 
@@ -79,15 +79,16 @@
     return row === null ? null : (row.value as StoredChange);
   }
 
-  /** After a lost answer: the change's own row tells whether the write took effect. */
+  /** After a rejected write or a lost reply: the change's own row shows whether it took effect. */
   async function resolveUnknownApply(
     environment: string,
     baseVersion: number,
     changeId: string,
   ): Promise<ApplyResult> {
     try {
-      // The document first: once it has moved on, an absent change row can never appear. Read the
-      // other way round, a late write between the two reads would be told as somebody else's.
+      // The document is read first: once its version has advanced, a missing change row can never
+      // appear. In the reverse order, a late write between the two reads would be reported as a
+      // conflict with another change.
       const current = toChange(await table.read(documentKey(environment)));
       const ownChange = await table.read(changeKey(environment, changeId));
       if (ownChange !== null) {
@@ -97,7 +98,7 @@
         };
       }
       const version = current?.version ?? 0;
-      // At the base version still, the write may be on its way and take effect after this read.
+      // Still at the base version: the write may be in transit and take effect after this read.
       if (version === baseVersion) return { outcome: ApplyOutcome.Unknown, version };
       return {
         outcome: ApplyOutcome.Conflict,
@@ -142,7 +143,7 @@
         const [result] = await table.transact([{ puts }]);
         if (result?.applied === true) return { outcome: ApplyOutcome.Accepted, version };
       } catch {
-        // Fall through: the answer was lost, so the table itself is asked.
+        // The reply was lost; the outcome is read from the table below.
       }
       return resolveUnknownApply(environment, baseVersion, changeId);
     },
--- a/packages/shared-state/src/state-sync.test.ts
+++ b/packages/shared-state/src/state-sync.test.ts
@@ -1,5 +1,5 @@
 /**
- * Asking peers for the state.
+ * Fetching the shared state from peers.
  */
 import { createSilentLogger } from '@lapisbridge/logger';
 import { createFakeTable } from '@lapisbridge/test-support';
@@ -10,9 +10,10 @@
 import { createStateSync } from './state-sync.js';
 
 describe('a digest of a peer that is ahead', () => {
-  it('is not forgotten when it comes right after another question', async () => {
-    // A drain and a change come within a moment. The second digest arrived during the pause after
-    // the first question and was dropped, and the change came into force up to five seconds later.
+  it('is not dropped when it arrives right after another fetch', async () => {
+    // A drain order and a configuration change follow each other closely. The second digest arrived
+    // within the minimum time after the first fetch and was dropped, so the change came into force
+    // up to five seconds later.
     const logger = createSilentLogger();
     const sync = createStateSync({
       environment: 'test',
--- a/packages/shared-state/src/state-sync.ts
+++ b/packages/shared-state/src/state-sync.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps a process's shared state up to date: digests on heartbeats and gossip say who is
- * ahead, the text is then fetched once from that peer; a slow jittered poll of the table is
- * the safety net. Orders taken while the table was down are written to it when it is back.
+ * Keeps a process's shared state up to date. Digests in heartbeats and gossip show which peer may
+ * be ahead, and the state is fetched from that peer. A slow, jittered poll of the table is the
+ * fallback. Orders accepted while the table was unavailable are written to it later.
  */
 import type { Logger } from '@lapisbridge/logger';
 
@@ -17,23 +17,23 @@
   readonly logger: Logger;
   readonly random: () => number;
   readonly pollMilliseconds?: number;
-  /** Entries write unsaved orders back; sidecars leave that to them. */
+  /** Whether to write orders missing in the table to it: true in entries, false in sidecars. */
   readonly writesOrders: boolean;
 }
 
 export interface StateSync {
   start(): Promise<void>;
   stop(): void;
-  /** Tells of a peer's digest; `fetch` asks that peer for its state. */
+  /** Compares a peer's digest; `fetchState` requests the state from that peer. */
   handlePeerDigest(peerDigest: string, fetchState: () => void): void;
-  /** Reads the table now; false when it did not answer. */
+  /** Reads the table now; returns false if a read or write failed. */
   poll(): Promise<boolean>;
 }
 
 const POLL_MILLISECONDS = 15_000;
-/** Until a first configuration is known the table is asked often. */
+/** Poll period until a first configuration is known. */
 const INITIAL_POLL_MILLISECONDS = 500;
-/** One fetch at a time: many peers announce the same version at once. */
+/** Minimum time between two fetches, since many peers announce the same version at once. */
 const FETCH_INTERVAL_MILLISECONDS = 300;
 
 export function createStateSync(options: StateSyncOptions): StateSync {
@@ -63,8 +63,8 @@
   }
 
   /**
-   * Asks at once, or as soon as the pause since the last question is over. A digest that was
-   * dropped instead would be heard again only with the peer's next heartbeat, seconds later.
+   * Fetches at once, or as soon as the minimum time since the last fetch has passed. If the digest
+   * were dropped instead, it would arrive again only with the peer's next heartbeat, seconds later.
    */
   function handlePeerDigest(peerDigest: string, fetchState: () => void): void {
     if (!peerMayBeAhead(state.digest, peerDigest)) return;
