--- a/packages/membership/src/udp-membership.ts
+++ b/packages/membership/src/udp-membership.ts
@@ -1,5 +1,5 @@
 /**
- * Runs the prober over UDP and seeds it from the platform's lagging instance list.
+ * Runs the prober over UDP and seeds it from the platform's instance list, which lags behind.
  */
 import { createSocket } from 'node:dgram';
 import type { Socket } from 'node:dgram';
@@ -14,11 +14,12 @@
 import { createProber } from './prober.js';
 import type { Prober } from './prober.js';
 
-const TICK_MILLISECONDS = 250;
-const LIST_MILLISECONDS = 2500;
-/** Messages sent while leaving, so that one lost datagram does not hide it. */
-const GOODBYE_TICKS = 3;
+const TICK_PERIOD_MILLISECONDS = 250;
+const LIST_POLL_MILLISECONDS = 2500;
+/** Repetitions of the leave announcement, so that one lost datagram does not suppress it. */
+const LEAVE_ANNOUNCEMENTS = 3;
 
+/** An entry of the platform's instance list. */
 export interface ListedInstanceView {
   readonly record: InstanceRecord;
   readonly state: InstanceState.Live | InstanceState.Leaving;
@@ -27,27 +28,32 @@
 export interface MembershipOptions {
   readonly self: InstanceRecord;
   readonly clock: MonotonicClock;
+  /** Uniform in [0, 1). */
   readonly random: () => number;
+  /** Reads the platform's instance list; a failed read is ignored until the next poll. */
   listInstances(): Promise<readonly ListedInstanceView[]>;
+  /** Digest of the shared state, sent with every message. */
   stateDigest(): string;
   onChange(member: Member): void;
   onPeerDigest(peer: InstanceRecord, digest: string): void;
-  /** The platform's list names this instance as leaving. */
+  /** Called at each poll in which the platform's list shows this instance as leaving. */
   onOwnLeaving?(): void;
 }
 
 export interface Membership {
+  /** Binds the UDP socket and reads the list once; rejects if the address cannot be bound. */
   start(): Promise<void>;
+  /** Announces that this instance is leaving, then closes the socket. */
   stop(): Promise<void>;
   members(): Iterable<Member>;
   member(instanceId: string): Member | undefined;
   announceVersion(version: number): void;
   announceLeaving(): void;
-  /** Bytes and messages since the start, for metrics and the capacity page. */
-  readonly traffic: Traffic;
+  /** Messages and encoded bytes since the start, for metrics and capacity planning. */
+  readonly traffic: GossipTraffic;
 }
 
-export interface Traffic {
+export interface GossipTraffic {
   sentMessages: number;
   sentBytes: number;
   receivedMessages: number;
@@ -58,23 +64,29 @@
 
 export function createMembership(options: MembershipOptions): Membership {
   const { self, clock } = options;
-  const traffic: Traffic = { sentMessages: 0, sentBytes: 0, receivedMessages: 0, receivedBytes: 0 };
+  const traffic: GossipTraffic = {
+    sentMessages: 0,
+    sentBytes: 0,
+    receivedMessages: 0,
+    receivedBytes: 0,
+  };
   let socket: Socket | undefined;
-  let ticking: NodeJS.Timeout | undefined;
-  let listing: NodeJS.Timeout | undefined;
+  let tickTimer: NodeJS.Timeout | undefined;
+  let listPollTimer: NodeJS.Timeout | undefined;
   let stopped = false;
 
   function send(to: InstanceRecord, message: GossipMessage): void {
     const bytes = codec.encode(message);
     traffic.sentMessages += 1;
     traffic.sentBytes += bytes.length;
-    // An unreachable peer is what probing is there to notice, so send errors are not raised.
+    // Send errors are ignored: probing detects unreachable peers.
     socket?.send(bytes, to.peerPort, to.host, () => undefined);
   }
 
   const prober: Prober = createProber({
     self,
-    // Wall-clock seconds only seed the number: a restarted instance must start above its past one.
+    // Wall-clock seconds serve only as the first value: a restarted instance must start above the
+    // incarnation of its earlier run.
     incarnation: Math.floor(Date.now() / 1000),
     random: options.random,
     send,
@@ -91,53 +103,53 @@
       message = codec.decode(bytes) as GossipMessage;
       if (message.from.record.environment !== self.environment) return;
     } catch {
-      // A stray datagram on the port; nothing of ours is lost with it.
+      // A malformed datagram does not come from a member and can be dropped.
       return;
     }
     prober.receive(message, clock());
   }
 
-  async function readList(): Promise<void> {
+  async function pollInstanceList(): Promise<void> {
     try {
       for (const { record, state } of await options.listInstances()) {
         const leaving = state === State.Leaving;
         if (record.instanceId === self.instanceId && leaving) options.onOwnLeaving?.();
-        prober.noteListed(record, leaving, clock());
+        prober.mergeListed(record, leaving, clock());
       }
     } catch {
-      // The list is only a seed: gossip goes on with what is known.
+      // The list only seeds the member table; gossip continues with the known members.
     }
   }
 
-  function scheduleList(): void {
+  function scheduleListPoll(): void {
     if (stopped) return;
-    const jittered = LIST_MILLISECONDS * (0.5 + options.random());
-    listing = setTimeout(() => void readList().then(scheduleList), jittered);
+    const jittered = LIST_POLL_MILLISECONDS * (0.5 + options.random());
+    listPollTimer = setTimeout(() => void pollInstanceList().then(scheduleListPoll), jittered);
   }
 
   return {
     traffic,
     async start() {
-      const opened = createSocket(self.host.includes(':') ? 'udp6' : 'udp4');
-      socket = opened;
+      const boundSocket = createSocket(self.host.includes(':') ? 'udp6' : 'udp4');
+      socket = boundSocket;
       await new Promise<void>((resolve, reject) => {
-        opened.once('error', reject);
-        opened.bind(self.peerPort, self.host, () => {
-          opened.removeListener('error', reject);
+        boundSocket.once('error', reject);
+        boundSocket.bind(self.peerPort, self.host, () => {
+          boundSocket.removeListener('error', reject);
           resolve();
         });
       });
-      opened.on('message', receive);
-      opened.on('error', () => undefined);
-      await readList();
-      scheduleList();
-      ticking = setInterval(() => prober.tick(clock()), TICK_MILLISECONDS);
+      boundSocket.on('message', receive);
+      boundSocket.on('error', () => undefined);
+      await pollInstanceList();
+      scheduleListPoll();
+      tickTimer = setInterval(() => prober.tick(clock()), TICK_PERIOD_MILLISECONDS);
     },
     async stop() {
       stopped = true;
-      clearTimeout(listing);
-      clearInterval(ticking);
-      for (let count = 0; count < GOODBYE_TICKS; count += 1) prober.leave(clock());
+      clearTimeout(listPollTimer);
+      clearInterval(tickTimer);
+      for (let count = 0; count < LEAVE_ANNOUNCEMENTS; count += 1) prober.leave(clock());
       await new Promise<void>((resolve) => {
         if (socket === undefined) resolve();
         else socket.close(() => resolve());
