--- a/packages/at-most-once/src/at-most-once.test.ts
+++ b/packages/at-most-once/src/at-most-once.test.ts
@@ -7,9 +7,9 @@
 import { describe, expect, it } from 'vitest';
 
 import { ClaimState } from './claim-record.js';
-import { ClaimResultKind, createClaims } from './claims.js';
-import type { Call, Claims } from './claims.js';
-import { outcomeOf, proveNotRun } from './prove-not-run.js';
+import { ClaimResultKind, createClaimStore } from './claim-store.js';
+import type { CallAttempt, ClaimStore } from './claim-store.js';
+import { outcomeFromRow, proveNotRun } from './prove-not-run.js';
 
 const ENVIRONMENT = 'test';
 const RESULT = { status: 200, contentType: 'text/plain', body: '' };
@@ -21,8 +21,11 @@
   return `nonce-${nonce}`;
 }
 
-function claimsOn(table: ReturnType<typeof createFakeTable>, instanceId: string): Claims {
-  return createClaims({
+function createTestClaimStore(
+  table: ReturnType<typeof createFakeTable>,
+  instanceId: string,
+): ClaimStore {
+  return createClaimStore({
     table,
     objects: OBJECTS,
     environment: ENVIRONMENT,
@@ -31,11 +34,11 @@
   });
 }
 
-function call(attempt: string, claimVersion = 0, digest = 'digest'): Call {
+function call(attempt: string, claimVersion = 0, digest = 'digest'): CallAttempt {
   return { account: 'account', idempotencyKey: 'key', attempt, digest, claimVersion };
 }
 
-enum Death {
+enum FailurePoint {
   None = 'none',
   BeforeClaim = 'beforeClaim',
   AfterClaim = 'afterClaim',
@@ -43,7 +46,7 @@
 }
 
 interface AttemptPlan {
-  readonly death: Death;
+  readonly failurePoint: FailurePoint;
   /** The entry stops waiting and asks for proof, as it does when a sidecar is frozen. */
   readonly entryProves: boolean;
 }
@@ -58,7 +61,7 @@
 );
 const plans = fc.array(
   fc.record<AttemptPlan>({
-    death: fc.constantFrom(...Object.values(Death)),
+    failurePoint: fc.constantFrom(...Object.values(FailurePoint)),
     entryProves: fc.boolean(),
   }),
   { minLength: 2, maxLength: 4 },
@@ -85,16 +88,16 @@
           });
 
           async function runSidecar(name: string, plan: AttemptPlan): Promise<RequestOutcome> {
-            if (plan.death === Death.BeforeClaim) return RequestOutcome.Unknown;
-            const claims = claimsOn(table, name);
+            if (plan.failurePoint === FailurePoint.BeforeClaim) return RequestOutcome.Unknown;
+            const claims = createTestClaimStore(table, name);
             const won = await claims.claim(call(name));
             if (won.kind === ClaimResultKind.Replay) return RequestOutcome.Done;
-            if (won.kind !== ClaimResultKind.Won) return RequestOutcome.Unknown;
-            if (plan.death === Death.AfterClaim) return RequestOutcome.Unknown;
+            if (won.kind !== ClaimResultKind.Acquired) return RequestOutcome.Unknown;
+            if (plan.failurePoint === FailurePoint.AfterClaim) return RequestOutcome.Unknown;
             await scheduler.schedule(Promise.resolve(), 'frozen before dispatch');
             effects.push(name);
-            if (plan.death === Death.AfterDispatch) return RequestOutcome.Unknown;
-            await claims.settle(won.claim, ClaimState.Done, RESULT);
+            if (plan.failurePoint === FailurePoint.AfterDispatch) return RequestOutcome.Unknown;
+            await claims.storeOutcome(won.claim, ClaimState.Done, RESULT);
             return RequestOutcome.Done;
           }
 
@@ -138,8 +141,8 @@
       readFate: () => CallFate.Answered,
       pause: () => Promise.resolve(),
     });
-    const result = await claimsOn(table, 'one').claim(call('a'));
-    expect(result.kind).toBe(ClaimResultKind.Won);
+    const result = await createTestClaimStore(table, 'one').claim(call('a'));
+    expect(result.kind).toBe(ClaimResultKind.Acquired);
   });
 
   it('never lets an attempt claim that was proved not run while it was frozen', async () => {
@@ -148,20 +151,20 @@
     const table = createFakeTable();
     const proof = await proveNotRun(table, ENVIRONMENT, call('frozen'), { createNonce });
     expect(proof.outcome).toBe(RequestOutcome.NotRun);
-    const thawed = await claimsOn(table, 'one').claim(call('frozen'));
+    const thawed = await createTestClaimStore(table, 'one').claim(call('frozen'));
     expect(thawed).toEqual({ kind: ClaimResultKind.Superseded, version: 1 });
-    const next = await claimsOn(table, 'two').claim(call('next', 1));
-    expect(next.kind).toBe(ClaimResultKind.Won);
+    const next = await createTestClaimStore(table, 'two').claim(call('next', 1));
+    expect(next.kind).toBe(ClaimResultKind.Acquired);
   });
 
   it('refuses the same key with another body', async () => {
     // A caller's mistake: one key for two bookings. Replaying the first answer for the second
     // would make the caller believe that the second slot is booked.
     const table = createFakeTable();
-    const claims = claimsOn(table, 'one');
+    const claims = createTestClaimStore(table, 'one');
     const won = await claims.claim(call('a'));
-    if (won.kind !== ClaimResultKind.Won) throw new Error('not won');
-    await claims.settle(won.claim, ClaimState.Done, RESULT);
+    if (won.kind !== ClaimResultKind.Acquired) throw new Error('not won');
+    await claims.storeOutcome(won.claim, ClaimState.Done, RESULT);
     const reused = await claims.claim(call('b', 0, 'other digest'));
     expect(reused).toEqual({ kind: ClaimResultKind.KeyReused, ran: true });
   });
@@ -170,15 +173,15 @@
     // The service behind the winner refused the connection, so nothing was sent. Without giving
     // the claim back the key would be blocked for good although the call never ran.
     const table = createFakeTable();
-    const winner = claimsOn(table, 'one');
+    const winner = createTestClaimStore(table, 'one');
     const won = await winner.claim(call('a'));
-    if (won.kind !== ClaimResultKind.Won) throw new Error('not won');
+    if (won.kind !== ClaimResultKind.Acquired) throw new Error('not won');
     expect(await winner.release(won.claim)).toBe(true);
-    const next = await claimsOn(table, 'two').claim(call('b', won.claim.version + 1));
-    expect(next.kind).toBe(ClaimResultKind.Won);
+    const next = await createTestClaimStore(table, 'two').claim(call('b', won.claim.version + 1));
+    expect(next.kind).toBe(ClaimResultKind.Acquired);
     expect(await winner.release(won.claim)).toBe(false);
     const row = table.state.read('claims/test/account/key');
-    expect(outcomeOf(row).outcome).toBe(RequestOutcome.Running);
+    expect(outcomeFromRow(row).outcome).toBe(RequestOutcome.Running);
   });
 
   it('abandons a claim whose write may still arrive late', async () => {
@@ -199,7 +202,7 @@
         });
       },
     });
-    const claims = claimsOn(table, 'one');
+    const claims = createTestClaimStore(table, 'one');
     const result = await claims.claim(call('a'));
     expect(result.kind).toBe(ClaimResultKind.Unavailable);
     writes = 2;
@@ -207,6 +210,6 @@
     for (const apply of waiting) apply();
     await Promise.resolve();
     const row = table.state.read('claims/test/account/key');
-    expect(outcomeOf(row).outcome).toBe(RequestOutcome.NotRun);
+    expect(outcomeFromRow(row).outcome).toBe(RequestOutcome.NotRun);
   });
 });
--- a/packages/at-most-once/src/claims.ts
+++ b/packages/at-most-once/src/claim-store.ts
@@ -11,7 +11,7 @@
 import type { ClaimPlan } from './plan-claim.js';
 import { proveNotRun } from './prove-not-run.js';
 
-export interface Call {
+export interface CallAttempt {
   readonly account: string;
   readonly idempotencyKey: string;
   /** Name of this attempt, unique among all attempts at all requests. */
@@ -22,15 +22,15 @@
 }
 
 /** Proof of having won: the row as this sidecar wrote it. */
-export interface WonClaim {
-  readonly call: Call;
+export interface AcquiredClaim {
+  readonly call: CallAttempt;
   readonly key: string;
   readonly version: number;
   readonly record: ClaimRecord;
 }
 
 export enum ClaimResultKind {
-  Won = 'won',
+  Acquired = 'won',
   KeyReused = 'keyReused',
   /** The call was proved not run after this attempt began; a new attempt may go on from there. */
   Superseded = 'superseded',
@@ -42,7 +42,7 @@
 }
 
 export type ClaimResult =
-  | { readonly kind: ClaimResultKind.Won; readonly claim: WonClaim }
+  | { readonly kind: ClaimResultKind.Acquired; readonly claim: AcquiredClaim }
   | { readonly kind: ClaimResultKind.KeyReused; readonly ran: boolean }
   | { readonly kind: ClaimResultKind.Superseded; readonly version: number }
   | { readonly kind: ClaimResultKind.Running }
@@ -50,18 +50,22 @@
   | { readonly kind: ClaimResultKind.Replay; readonly result: StoredResult }
   | { readonly kind: ClaimResultKind.Unavailable };
 
-export interface Claims {
-  claim(call: Call): Promise<ClaimResult>;
+export interface ClaimStore {
+  claim(call: CallAttempt): Promise<ClaimResult>;
   /** Stores the outcome; false while the table cannot be reached, to be tried again. */
-  settle(claim: WonClaim, state: ClaimState.Done, result: StoredResult): Promise<boolean>;
-  settle(claim: WonClaim, state: ClaimState.InDoubt): Promise<boolean>;
+  storeOutcome(
+    claim: AcquiredClaim,
+    state: ClaimState.Done,
+    result: StoredResult,
+  ): Promise<boolean>;
+  storeOutcome(claim: AcquiredClaim, state: ClaimState.InDoubt): Promise<boolean>;
   /** Gives the claim back before dispatch; true once that is known to have taken effect. */
-  release(claim: WonClaim): Promise<boolean>;
+  release(claim: AcquiredClaim): Promise<boolean>;
   /** Makes sure that a claim whose write got no answer never stands in the way for good. */
-  abandon(call: Call): Promise<boolean>;
+  abandon(call: CallAttempt): Promise<boolean>;
 }
 
-export interface ClaimsOptions {
+export interface ClaimStoreOptions {
   readonly table: Table;
   readonly objects: ObjectStore;
   readonly environment: string;
@@ -70,18 +74,18 @@
 }
 
 /** Races with other attempts are few; more rounds than this mean a table in trouble. */
-const MAXIMUM_ROUNDS = 5;
+const MAXIMUM_CONDITIONAL_WRITES = 5;
 /** A larger result goes to the object store, so that rows stay small. */
-const MAXIMUM_INLINE_CHARACTERS = 32 * 1024;
+const MAXIMUM_INLINE_BODY_CHARACTERS = 32 * 1024;
 
-function isOwnRecord(nonce: string, state: ClaimState): (value: unknown) => boolean {
+function matchOwnRecord(nonce: string, state: ClaimState): (value: unknown) => boolean {
   return (value) => {
     const record = value as ClaimRecord;
     return record.nonce === nonce && record.state === state;
   };
 }
 
-export function createClaims(options: ClaimsOptions): Claims {
+export function createClaimStore(options: ClaimStoreOptions): ClaimStore {
   const { table, objects, environment, instanceId } = options;
 
   async function replay(
@@ -95,13 +99,13 @@
   }
 
   /** One conditional write in view of a row; a row as the answer means: look again. */
-  async function attemptClaim(
-    call: Call,
+  async function tryClaim(
+    call: CallAttempt,
     key: string,
     row: TableRow | null,
-    firstTry: boolean,
+    isFirstWrite: boolean,
   ): Promise<ClaimResult | { readonly conflict: TableRow | null }> {
-    const plan: ClaimPlan = firstTry
+    const plan: ClaimPlan = isFirstWrite
       ? { kind: ClaimPlanKind.Insert, expectedVersion: call.claimVersion }
       : planClaim(row, call);
     switch (plan.kind) {
@@ -117,14 +121,14 @@
           key,
           value: record,
           expectedVersion: plan.expectedVersion,
-          isOwn: isOwnRecord(record.nonce, ClaimState.Claimed),
+          isOwn: matchOwnRecord(record.nonce, ClaimState.Claimed),
         });
         if (written.outcome === WriteOutcome.Unknown) {
           return { kind: ClaimResultKind.Unavailable };
         }
         if (written.outcome === WriteOutcome.Conflict) return { conflict: written.row };
         const version = written.row?.version ?? plan.expectedVersion + 1;
-        return { kind: ClaimResultKind.Won, claim: { call, key, version, record } };
+        return { kind: ClaimResultKind.Acquired, claim: { call, key, version, record } };
       }
       case ClaimPlanKind.KeyReused:
         return { kind: ClaimResultKind.KeyReused, ran: plan.ran };
@@ -143,18 +147,18 @@
     }
   }
 
-  async function rewrite(claim: WonClaim, record: ClaimRecord): Promise<boolean> {
+  async function updateClaim(claim: AcquiredClaim, record: ClaimRecord): Promise<boolean> {
     const written = await writeConditionally(table, {
       key: claim.key,
       value: record,
       expectedVersion: claim.version,
-      isOwn: isOwnRecord(record.nonce, record.state),
+      isOwn: matchOwnRecord(record.nonce, record.state),
     });
     return written.outcome === WriteOutcome.Applied;
   }
 
   async function storeResult(key: string, result: StoredResult): Promise<Partial<ClaimRecord>> {
-    if (result.body.length <= MAXIMUM_INLINE_CHARACTERS) return { result };
+    if (result.body.length <= MAXIMUM_INLINE_BODY_CHARACTERS) return { result };
     const resultObject = `results/${key}`;
     await objects.write(resultObject, result);
     return { resultObject };
@@ -164,18 +168,18 @@
     async claim(call) {
       const key = claimKey(environment, call.account, call.idempotencyKey);
       let row: TableRow | null = null;
-      for (let round = 0; round < MAXIMUM_ROUNDS; round += 1) {
-        const outcome = await attemptClaim(call, key, row, round === 0);
+      for (let writeCount = 0; writeCount < MAXIMUM_CONDITIONAL_WRITES; writeCount += 1) {
+        const outcome = await tryClaim(call, key, row, writeCount === 0);
         if ('kind' in outcome) return outcome;
         row = outcome.conflict;
       }
       return { kind: ClaimResultKind.Running };
     },
 
-    async settle(claim: WonClaim, state: ClaimState, result?: StoredResult) {
+    async storeOutcome(claim: AcquiredClaim, state: ClaimState, result?: StoredResult) {
       try {
         const stored = result === undefined ? {} : await storeResult(claim.key, result);
-        return await rewrite(claim, { ...claim.record, state, ...stored });
+        return await updateClaim(claim, { ...claim.record, state, ...stored });
       } catch {
         return false;
       }
@@ -184,12 +188,12 @@
     async release(claim) {
       const { record } = claim;
       const released = { ...record, state: ClaimState.NotRun };
-      if (await rewrite(claim, released)) return true;
+      if (await updateClaim(claim, released)) return true;
       const seen = await readBack(table, {
         key: claim.key,
         value: released,
         expectedVersion: claim.version,
-        isOwn: isOwnRecord(record.nonce, ClaimState.NotRun),
+        isOwn: matchOwnRecord(record.nonce, ClaimState.NotRun),
       });
       return seen.outcome === WriteOutcome.Applied;
     },
--- a/packages/at-most-once/src/prove-not-run.ts
+++ b/packages/at-most-once/src/prove-not-run.ts
@@ -11,14 +11,14 @@
 import { claimKey, ClaimState } from './claim-record.js';
 import type { ClaimRecord, StoredResult } from './claim-record.js';
 
-export interface UnprovedCall {
+export interface CallReference {
   readonly account: string;
   readonly idempotencyKey: string;
   readonly attempt: string;
   readonly digest: string;
 }
 
-export interface Proof {
+export interface OutcomeReport {
   readonly outcome: RequestOutcome;
   /** False when the table could not be read or written. */
   readonly known: boolean;
@@ -32,16 +32,16 @@
   readonly instanceId?: string;
 }
 
-export interface ProofOptions {
+export interface ProveNotRunOptions {
   readonly createNonce: () => string;
   /** Set by the attempt's own sidecar, which knows that it has not dispatched. */
   readonly releaseOwnClaim?: boolean;
 }
 
-const MAXIMUM_ROUNDS = 4;
+const MAXIMUM_CONDITIONAL_WRITES = 4;
 
 /** What a claim row says, without writing anything. */
-export function outcomeOf(row: TableRow | null): Proof {
+export function outcomeFromRow(row: TableRow | null): OutcomeReport {
   if (row === null) return { outcome: RequestOutcome.NotRun, known: true };
   const record = row.value as ClaimRecord;
   switch (record.state) {
@@ -65,7 +65,11 @@
   }
 }
 
-function mayWriteProof(row: TableRow | null, call: UnprovedCall, options: ProofOptions): boolean {
+function canMarkNotRun(
+  row: TableRow | null,
+  call: CallReference,
+  options: ProveNotRunOptions,
+): boolean {
   if (row === null) return true;
   const record = row.value as ClaimRecord;
   if (record.state === ClaimState.NotRun) return true;
@@ -74,7 +78,7 @@
 }
 
 /** A digest is empty where a caller only asks what became of a key. */
-function isOtherBody(record: ClaimRecord, call: UnprovedCall): boolean {
+function hasDifferentDigest(record: ClaimRecord, call: CallReference): boolean {
   if (record.digest === '' || call.digest === '') return false;
   return record.digest !== call.digest;
 }
@@ -82,26 +86,26 @@
 export async function proveNotRun(
   table: Table,
   environment: string,
-  call: UnprovedCall,
-  options: ProofOptions,
-): Promise<Proof> {
+  call: CallReference,
+  options: ProveNotRunOptions,
+): Promise<OutcomeReport> {
   const key = claimKey(environment, call.account, call.idempotencyKey);
-  const unknown: Proof = { outcome: RequestOutcome.Unknown, known: false };
+  const unknown: OutcomeReport = { outcome: RequestOutcome.Unknown, known: false };
   let row: TableRow | null;
   try {
     row = await table.read(key);
   } catch {
     return unknown;
   }
-  for (let round = 0; round < MAXIMUM_ROUNDS; round += 1) {
+  for (let writeCount = 0; writeCount < MAXIMUM_CONDITIONAL_WRITES; writeCount += 1) {
     const record = row?.value as ClaimRecord | undefined;
-    if (record !== undefined && isOtherBody(record, call)) {
-      return { ...outcomeOf(row), keyReused: true };
+    if (record !== undefined && hasDifferentDigest(record, call)) {
+      return { ...outcomeFromRow(row), keyReused: true };
     }
-    if (!mayWriteProof(row, call, options)) return outcomeOf(row);
+    if (!canMarkNotRun(row, call, options)) return outcomeFromRow(row);
     const nonce = options.createNonce();
     const expectedVersion = row?.version ?? 0;
-    const proof: ClaimRecord = {
+    const notRunRecord: ClaimRecord = {
       state: ClaimState.NotRun,
       nonce,
       digest: record?.digest ?? call.digest,
@@ -110,7 +114,7 @@
     };
     const written = await writeConditionally(table, {
       key,
-      value: proof,
+      value: notRunRecord,
       expectedVersion,
       isOwn: (value) => (value as ClaimRecord).nonce === nonce,
     });
--- a/packages/at-most-once/src/seen-keys.ts
+++ b/packages/at-most-once/src/seen-keys.ts
@@ -15,18 +15,18 @@
 export function createSeenKeys(maximum = MAXIMUM_KEYS): SeenKeys {
   const keys = new Set<string>();
   let complete = true;
-  const join = (account: string, key: string): string => `${account}\u0000${key}`;
+  const compositeKey = (account: string, key: string): string => `${account}\u0000${key}`;
   return {
     get complete() {
       return complete;
     },
     add(account, idempotencyKey) {
-      keys.add(join(account, idempotencyKey));
+      keys.add(compositeKey(account, idempotencyKey));
       if (keys.size <= maximum) return;
       const oldest = keys.values().next().value;
       if (oldest !== undefined) keys.delete(oldest);
       complete = false;
     },
-    has: (account, idempotencyKey) => keys.has(join(account, idempotencyKey)),
+    has: (account, idempotencyKey) => keys.has(compositeKey(account, idempotencyKey)),
   };
 }
--- a/packages/at-most-once/src/transaction-batcher.ts
+++ b/packages/at-most-once/src/transaction-batcher.ts
@@ -4,12 +4,12 @@
  */
 import type { PutOperation, Table, TransactionResult } from '@lapisbridge/platform';
 
-const GATHER_MILLISECONDS = 2;
-const MAXIMUM_BATCH = 200;
+const BATCH_DELAY_MILLISECONDS = 2;
+const MAXIMUM_BATCH_SIZE = 200;
 /** Calls that may be on their way at once; more would only queue at the table. */
-const MAXIMUM_IN_FLIGHT = 4;
+const MAXIMUM_CONCURRENT_BATCHES = 4;
 
-interface Waiting {
+interface PendingTransaction {
   readonly puts: readonly PutOperation[];
   readonly resolve: (result: TransactionResult) => void;
   readonly reject: (error: unknown) => void;
@@ -21,16 +21,16 @@
 }
 
 export function createTransactionBatcher(table: Table): TransactionBatcher {
-  let waiting: Waiting[] = [];
-  let scheduled = false;
-  let inFlight = 0;
+  let pending: PendingTransaction[] = [];
+  let flushScheduled = false;
+  let batchesInFlight = 0;
 
   async function flush(): Promise<void> {
-    scheduled = false;
-    if (inFlight >= MAXIMUM_IN_FLIGHT || waiting.length === 0) return;
-    const batch = waiting.slice(0, MAXIMUM_BATCH);
-    waiting = waiting.slice(MAXIMUM_BATCH);
-    inFlight += 1;
+    flushScheduled = false;
+    if (batchesInFlight >= MAXIMUM_CONCURRENT_BATCHES || pending.length === 0) return;
+    const batch = pending.slice(0, MAXIMUM_BATCH_SIZE);
+    pending = pending.slice(MAXIMUM_BATCH_SIZE);
+    batchesInFlight += 1;
     try {
       const results = await table.transact(batch.map(({ puts }) => ({ puts })));
       for (const [index, one] of batch.entries()) {
@@ -41,21 +41,21 @@
     } catch (thrown) {
       for (const one of batch) one.reject(thrown);
     } finally {
-      inFlight -= 1;
-      if (waiting.length > 0) schedule();
+      batchesInFlight -= 1;
+      if (pending.length > 0) schedule();
     }
   }
 
   function schedule(): void {
-    if (scheduled) return;
-    scheduled = true;
-    setTimeout(() => void flush(), GATHER_MILLISECONDS);
+    if (flushScheduled) return;
+    flushScheduled = true;
+    setTimeout(() => void flush(), BATCH_DELAY_MILLISECONDS);
   }
 
   return {
     submit(puts) {
       return new Promise((resolve, reject) => {
-        waiting.push({ puts, resolve, reject });
+        pending.push({ puts, resolve, reject });
         schedule();
       });
     },
@@ -63,7 +63,7 @@
 }
 
 /** A table whose transactions go through the batcher; reads go straight. */
-export function batchingTable(table: Table): Table {
+export function createBatchingTable(table: Table): Table {
   const batcher = createTransactionBatcher(table);
   return {
     read: (key) => table.read(key),
--- a/packages/entry/src/call-outcome.ts
+++ b/packages/entry/src/call-outcome.ts
@@ -4,8 +4,8 @@
  */
 import { randomUUID } from 'node:crypto';
 
-import { claimKey, outcomeOf, proveNotRun } from '@lapisbridge/at-most-once';
-import type { Proof, StoredResult } from '@lapisbridge/at-most-once';
+import { claimKey, outcomeFromRow, proveNotRun } from '@lapisbridge/at-most-once';
+import type { OutcomeReport, StoredResult } from '@lapisbridge/at-most-once';
 import { sleep } from '@lapisbridge/kernel';
 import type { Platform, StoreWatcher } from '@lapisbridge/platform';
 import { RequestOutcome } from '@lapisbridge/types';
@@ -24,12 +24,12 @@
 
 export interface CallOutcomes {
   /** Reads the row; while the table is down, asks the sidecars. Writes nothing. */
-  look(key: CallKey): Promise<Proof>;
+  look(key: CallKey): Promise<OutcomeReport>;
   /** Makes "not run" certain by a write, or tells what the call became. */
-  prove(key: CallKey, attempt: string): Promise<Proof>;
+  prove(key: CallKey, attempt: string): Promise<OutcomeReport>;
   /** Waits for the result of a call that another attempt runs. */
-  follow(key: CallKey, deadline: Deadline): Promise<Proof>;
-  loadResult(proof: Proof): Promise<StoredResult | undefined>;
+  follow(key: CallKey, deadline: Deadline): Promise<OutcomeReport>;
+  loadResult(proof: OutcomeReport): Promise<StoredResult | undefined>;
 }
 
 const FOLLOW_MILLISECONDS = 50;
@@ -45,19 +45,19 @@
 ): CallOutcomes {
   const { table, objects } = platform;
 
-  async function readRow(key: CallKey): Promise<Proof> {
+  async function readRow(key: CallKey): Promise<OutcomeReport> {
     const row = await table.read(claimKey(key.environment, key.account, key.idempotencyKey));
-    return outcomeOf(row);
+    return outcomeFromRow(row);
   }
 
-  async function fromMemory(key: CallKey): Promise<Proof> {
+  async function fromMemory(key: CallKey): Promise<OutcomeReport> {
     const answers = await pool.queryKey(key.service, key.account, key.idempotencyKey);
     const outcome = provesNotRun(answers) ? RequestOutcome.NotRun : RequestOutcome.Unknown;
     return { outcome, known: outcome === RequestOutcome.NotRun };
   }
 
   /** The owner of a claim is gone for good when no new connection to it comes about. */
-  async function ownerLives(proof: Proof): Promise<boolean> {
+  async function ownerLives(proof: OutcomeReport): Promise<boolean> {
     if (proof.instanceId === undefined || proof.instanceId === '') return false;
     return pool.connect(proof.instanceId, OWNER_CONNECT_MILLISECONDS);
   }
@@ -79,7 +79,7 @@
     },
     async follow(key, deadline) {
       let pause = FOLLOW_MILLISECONDS;
-      const unknown: Proof = { outcome: RequestOutcome.Unknown, known: false };
+      const unknown: OutcomeReport = { outcome: RequestOutcome.Unknown, known: false };
       while (deadline.remaining() > pause + RETURN_MILLISECONDS) {
         const proof = await readRow(key).catch(() => unknown);
         if (!proof.known || proof.outcome !== RequestOutcome.Running) return proof;
--- a/packages/entry/src/conclude-call.ts
+++ b/packages/entry/src/conclude-call.ts
@@ -2,7 +2,7 @@
  * The last word about a call that no server has answered: its stored result, or an error that
  * says truthfully whether it ran.
  */
-import type { Proof, StoredResult } from '@lapisbridge/at-most-once';
+import type { OutcomeReport, StoredResult } from '@lapisbridge/at-most-once';
 import { LapisError, ResultCode } from '@lapisbridge/errors';
 import { OperationKind, Ran, RequestOutcome } from '@lapisbridge/types';
 
@@ -18,7 +18,7 @@
   };
 }
 
-function ranOf(proof: Proof): Ran {
+function ranOf(proof: OutcomeReport): Ran {
   switch (proof.outcome) {
     case RequestOutcome.NotRun:
       return Ran.No;
@@ -52,7 +52,7 @@
   context: CallContext,
   call: ServiceCall,
   state: CallState,
-  proof: Proof,
+  proof: OutcomeReport,
   codeWhenNotRun: ResultCode,
 ): Promise<ServiceAnswer> {
   context.logger.decision({
--- a/packages/sidecar/src/call-runner.ts
+++ b/packages/sidecar/src/call-runner.ts
@@ -5,7 +5,13 @@
  */
 import { EvidenceKind } from '@lapisbridge/admission';
 import { ClaimResultKind, ClaimState } from '@lapisbridge/at-most-once';
-import type { Call, Claims, SeenKeys, StoredResult, WonClaim } from '@lapisbridge/at-most-once';
+import type {
+  CallAttempt,
+  ClaimStore,
+  SeenKeys,
+  StoredResult,
+  AcquiredClaim,
+} from '@lapisbridge/at-most-once';
 import type { Limits } from '@lapisbridge/config';
 import { ResultCode } from '@lapisbridge/errors';
 import type { Logger } from '@lapisbridge/logger';
@@ -24,7 +30,7 @@
 export interface CallRunnerOptions {
   readonly gate: Gate;
   readonly service: ServiceClient;
-  readonly claims: Claims;
+  readonly claims: ClaimStore;
   readonly seenKeys: SeenKeys;
   readonly background: BackgroundRetry;
   readonly logger: Logger;
@@ -121,21 +127,21 @@
     }
   }
 
-  async function runClaimed(message: CallStart, claim: WonClaim): Promise<Reply> {
+  async function runClaimed(message: CallStart, claim: AcquiredClaim): Promise<Reply> {
     seenKeys.add(message.account, message.idempotencyKey);
     const outcome = await dispatch(message);
     switch (outcome.kind) {
       case ServiceOutcomeKind.Answered: {
         const result = toStored(outcome);
-        const settled = await claims.settle(claim, ClaimState.Done, result);
-        if (!settled) background.add(() => claims.settle(claim, ClaimState.Done, result));
+        const settled = await claims.storeOutcome(claim, ClaimState.Done, result);
+        if (!settled) background.add(() => claims.storeOutcome(claim, ClaimState.Done, result));
         return answer(message, result, false);
       }
       case ServiceOutcomeKind.NotSent:
         return giveBack(message, claim, outcome.reason);
       case ServiceOutcomeKind.Lost: {
-        const settled = await claims.settle(claim, ClaimState.InDoubt);
-        if (!settled) background.add(() => claims.settle(claim, ClaimState.InDoubt));
+        const settled = await claims.storeOutcome(claim, ClaimState.InDoubt);
+        if (!settled) background.add(() => claims.storeOutcome(claim, ClaimState.InDoubt));
         return fail(message, ResultCode.OutcomeUnknown, outcome.reason, Ran.Unknown);
       }
       default: {
@@ -146,7 +152,11 @@
   }
 
   /** The service was not reached. Others may run the call only once the claim is known to be back. */
-  async function giveBack(message: CallStart, claim: WonClaim, reason: string): Promise<Reply> {
+  async function giveBack(
+    message: CallStart,
+    claim: AcquiredClaim,
+    reason: string,
+  ): Promise<Reply> {
     if (await claims.release(claim)) {
       const given = { code: ResultCode.EngineFailed, reason, retryAfterMilliseconds: 0 };
       return { ...refusal(message, given), claimVersion: claim.version + 1 };
@@ -155,7 +165,7 @@
     return fail(message, ResultCode.StoreUnavailable, 'the claim is not yet back', Ran.No);
   }
 
-  function callOf(message: CallStart): Call {
+  function callOf(message: CallStart): CallAttempt {
     return {
       account: message.account,
       idempotencyKey: message.idempotencyKey,
@@ -177,7 +187,7 @@
       reason: `attempt ${message.attempt}`,
     });
     switch (result.kind) {
-      case ClaimResultKind.Won:
+      case ClaimResultKind.Acquired:
         if (run.abort.signal.aborted) {
           return giveBack(message, result.claim, 'the entry took the attempt back');
         }
--- a/packages/sidecar/src/sidecar.ts
+++ b/packages/sidecar/src/sidecar.ts
@@ -4,7 +4,7 @@
  */
 import { randomUUID } from 'node:crypto';
 
-import { batchingTable, createClaims, createSeenKeys } from '@lapisbridge/at-most-once';
+import { createBatchingTable, createClaimStore, createSeenKeys } from '@lapisbridge/at-most-once';
 import type { SidecarSettings } from '@lapisbridge/config';
 import { ResultCode } from '@lapisbridge/errors';
 import { createInstance } from '@lapisbridge/instance';
@@ -112,8 +112,8 @@
   const calls = createCallRunner({
     ...common,
     service,
-    claims: createClaims({
-      table: batchingTable(platform.table),
+    claims: createClaimStore({
+      table: createBatchingTable(platform.table),
       objects: platform.objects,
       environment: settings.environment,
       instanceId,
