--- a/packages/at-most-once/src/at-most-once.test.ts
+++ b/packages/at-most-once/src/at-most-once.test.ts
@@ -1,5 +1,5 @@
 /**
- * Claims under interleaved attempts, lost answers, late writes, freezes and deaths.
+ * Claims under interleaved attempts, lost responses, late writes, paused sidecars and crashes.
  */
 import { CallFate, createFakeTable } from '@lapisbridge/test-support';
 import { RequestOutcome } from '@lapisbridge/types';
@@ -47,7 +47,7 @@
 
 interface AttemptPlan {
   readonly failurePoint: FailurePoint;
-  /** The entry stops waiting and asks for proof, as it does when a sidecar is frozen. */
+  /** The entry stops waiting and calls `proveNotRun`, as it does when a sidecar is paused. */
   readonly entryProves: boolean;
 }
 
@@ -67,11 +67,11 @@
   { minLength: 2, maxLength: 4 },
 );
 
-describe('at most once', () => {
+describe('at-most-once calls', () => {
   it('executes a call at most once and says "not run" only when it did not run', async () => {
-    // A caller repeats a booking through several entries. Sidecars die or freeze at any point
-    // between claim and dispatch, and the table loses answers or applies writes late. A second
-    // execution would book a slot twice; a wrong "not run" makes the caller book elsewhere too.
+    // A caller retries a booking through several entries. Sidecars crash or pause at any point
+    // between claim and dispatch, and the table loses responses or applies writes late. A second
+    // execution would book a slot twice; a wrong "not run" would make the caller book elsewhere.
     await fc.assert(
       fc.asyncProperty(
         fc.scheduler(),
@@ -94,7 +94,7 @@
             if (won.kind === ClaimResultKind.Replay) return RequestOutcome.Done;
             if (won.kind !== ClaimResultKind.Acquired) return RequestOutcome.Unknown;
             if (plan.failurePoint === FailurePoint.AfterClaim) return RequestOutcome.Unknown;
-            await scheduler.schedule(Promise.resolve(), 'frozen before dispatch');
+            await scheduler.schedule(Promise.resolve(), 'paused before dispatch');
             effects.push(name);
             if (plan.failurePoint === FailurePoint.AfterDispatch) return RequestOutcome.Unknown;
             await claims.storeOutcome(won.claim, ClaimState.Done, RESULT);
@@ -128,9 +128,9 @@
     );
   });
 
-  it('recognises its own claim when the answer of the write was lost', async () => {
-    // The table took the claim and its answer was lost. Taking the conflict of a plain retry for
-    // another sidecar's claim would leave the call unexecuted and the caller without an answer.
+  it('recognises its own claim when the response to the write was lost', async () => {
+    // The table applied the claim and its response was lost. If the conflict on retry were taken
+    // for another sidecar's claim, nobody would run the call and the caller would get no reply.
     let first = true;
     const table = createFakeTable({
       writeFate() {
@@ -145,37 +145,37 @@
     expect(result.kind).toBe(ClaimResultKind.Acquired);
   });
 
-  it('never lets an attempt claim that was proved not run while it was frozen', async () => {
-    // The entry lost its sidecar, proved "not run" and said so. The sidecar thaws and claims. If
-    // that went through, a booking would stand that its caller was told does not exist.
+  it('refuses the claim of an attempt that was proved not run while it was paused', async () => {
+    // The entry lost its sidecar, proved "not run" and replied so. Then the sidecar resumes and
+    // claims. If the claim succeeded, a booking would exist that its caller was told did not run.
     const table = createFakeTable();
-    const proof = await proveNotRun(table, ENVIRONMENT, call('frozen'), { createNonce });
+    const proof = await proveNotRun(table, ENVIRONMENT, call('paused'), { createNonce });
     expect(proof.outcome).toBe(RequestOutcome.NotRun);
-    const thawed = await createTestClaimStore(table, 'one').claim(call('frozen'));
-    expect(thawed).toEqual({ kind: ClaimResultKind.Superseded, version: 1 });
+    const resumed = await createTestClaimStore(table, 'one').claim(call('paused'));
+    expect(resumed).toEqual({ kind: ClaimResultKind.Superseded, version: 1 });
     const next = await createTestClaimStore(table, 'two').claim(call('next', 1));
     expect(next.kind).toBe(ClaimResultKind.Acquired);
   });
 
-  it('refuses the same key with another body', async () => {
-    // A caller's mistake: one key for two bookings. Replaying the first answer for the second
-    // would make the caller believe that the second slot is booked.
+  it('refuses a key that is reused with a different body', async () => {
+    // A caller uses one key for two bookings by mistake. Replaying the first response for the
+    // second would make the caller believe that the second slot is booked.
     const table = createFakeTable();
     const claims = createTestClaimStore(table, 'one');
     const won = await claims.claim(call('a'));
-    if (won.kind !== ClaimResultKind.Acquired) throw new Error('not won');
+    if (won.kind !== ClaimResultKind.Acquired) throw new Error('claim not acquired');
     await claims.storeOutcome(won.claim, ClaimState.Done, RESULT);
     const reused = await claims.claim(call('b', 0, 'other digest'));
     expect(reused).toEqual({ kind: ClaimResultKind.KeyReused, ran: true });
   });
 
-  it('gives a claim back only by its own winner, and then lets another attempt run', async () => {
-    // The service behind the winner refused the connection, so nothing was sent. Without giving
-    // the claim back the key would be blocked for good although the call never ran.
+  it('releases a claim only for its holder, and then lets another attempt run', async () => {
+    // The service behind the holder refused the connection, so nothing was sent. Without the
+    // release the key would stay blocked although the call never ran.
     const table = createFakeTable();
     const winner = createTestClaimStore(table, 'one');
     const won = await winner.claim(call('a'));
-    if (won.kind !== ClaimResultKind.Acquired) throw new Error('not won');
+    if (won.kind !== ClaimResultKind.Acquired) throw new Error('claim not acquired');
     expect(await winner.release(won.claim)).toBe(true);
     const next = await createTestClaimStore(table, 'two').claim(call('b', won.claim.version + 1));
     expect(next.kind).toBe(ClaimResultKind.Acquired);
@@ -184,9 +184,9 @@
     expect(outcomeFromRow(row).outcome).toBe(RequestOutcome.Running);
   });
 
-  it('abandons a claim whose write may still arrive late', async () => {
-    // The write timed out, and the sidecar told "not run". The write then takes effect. Without
-    // clearing it, every later attempt with the key would wait for a sidecar that does nothing.
+  it('invalidates a claim whose write may take effect late', async () => {
+    // The write timed out, the sidecar reported "not run", and then the write takes effect.
+    // Uncleared, it would make every later attempt with the key wait for an idle sidecar.
     let writes = 0;
     const waiting: (() => void)[] = [];
     const table = createFakeTable({
--- a/packages/at-most-once/src/claim-store.ts
+++ b/packages/at-most-once/src/claim-store.ts
@@ -1,6 +1,7 @@
 /**
- * The life of a claim at the sidecar that would dispatch: win it, then store what came of
- * it, or give it back. Only the winner of the conditional insert ever dispatches, once.
+ * Writes the claim rows of at-most-once calls: a sidecar acquires a claim before it dispatches
+ * a call, then stores the outcome, or releases the claim if it did not dispatch. Only the
+ * sidecar whose conditional write acquired the claim dispatches the call, and only once.
  */
 import { readBack, writeConditionally, WriteOutcome } from '@lapisbridge/platform';
 import type { ObjectStore, Table, TableRow } from '@lapisbridge/platform';
@@ -11,17 +12,19 @@
 import type { ClaimPlan } from './plan-claim.js';
 import { proveNotRun } from './prove-not-run.js';
 
+/** One attempt to run an at-most-once call. */
 export interface CallAttempt {
   readonly account: string;
   readonly idempotencyKey: string;
-  /** Name of this attempt, unique among all attempts at all requests. */
+  /** Identifier of this attempt, unique across all requests. */
   readonly attempt: string;
+  /** Digest of the operation and the request body. */
   readonly digest: string;
-  /** Row version that the attempt goes on from, 0 for an absent row. */
+  /** Row version that this attempt expects; 0 if the row must not exist. */
   readonly claimVersion: number;
 }
 
-/** Proof of having won: the row as this sidecar wrote it. */
+/** A claim held by this sidecar: the row as it wrote it, with the row's version. */
 export interface AcquiredClaim {
   readonly call: CallAttempt;
   readonly key: string;
@@ -32,12 +35,15 @@
 export enum ClaimResultKind {
   Acquired = 'won',
   KeyReused = 'keyReused',
-  /** The call was proved not run after this attempt began; a new attempt may go on from there. */
+  /** The call was proved not run after this attempt began; a new attempt may use `version`. */
   Superseded = 'superseded',
   Running = 'running',
   InDoubt = 'inDoubt',
   Replay = 'replay',
-  /** The table gave no answer. Nothing will be dispatched for this attempt. */
+  /**
+   * The table, or the object store that holds a large result, is not accessible. Nothing is
+   * dispatched for this attempt.
+   */
   Unavailable = 'unavailable',
 }
 
@@ -51,17 +57,21 @@
   | { readonly kind: ClaimResultKind.Unavailable };
 
 export interface ClaimStore {
+  /** Acquires the claim, or reports why it cannot. Table errors give `Unavailable`. */
   claim(call: CallAttempt): Promise<ClaimResult>;
-  /** Stores the outcome; false while the table cannot be reached, to be tried again. */
+  /** Stores the outcome. Resolves to false if the write was not confirmed; retry then. */
   storeOutcome(
     claim: AcquiredClaim,
     state: ClaimState.Done,
     result: StoredResult,
   ): Promise<boolean>;
   storeOutcome(claim: AcquiredClaim, state: ClaimState.InDoubt): Promise<boolean>;
-  /** Gives the claim back before dispatch; true once that is known to have taken effect. */
+  /** Releases the claim before dispatch. Resolves to true once the release is confirmed. */
   release(claim: AcquiredClaim): Promise<boolean>;
-  /** Makes sure that a claim whose write got no answer never stands in the way for good. */
+  /**
+   * Invalidates a claim whose write got no response, so that it cannot block the key if the
+   * write takes effect later. Resolves to false if the outcome is still unknown.
+   */
   abandon(call: CallAttempt): Promise<boolean>;
 }
 
@@ -73,9 +83,9 @@
   readonly createNonce: () => string;
 }
 
-/** Races with other attempts are few; more rounds than this mean a table in trouble. */
+/** Few attempts compete for one key, so more conflicts than this indicate a faulty table. */
 const MAXIMUM_CONDITIONAL_WRITES = 5;
-/** A larger result goes to the object store, so that rows stay small. */
+/** Results with a longer base64 body go to the object store, to keep rows small. */
 const MAXIMUM_INLINE_BODY_CHARACTERS = 32 * 1024;
 
 function matchOwnRecord(nonce: string, state: ClaimState): (value: unknown) => boolean {
@@ -98,7 +108,7 @@
     return { kind: ClaimResultKind.Replay, result: stored as StoredResult };
   }
 
-  /** One conditional write in view of a row; a row as the answer means: look again. */
+  /** Makes at most one conditional write. On a conflict, returns the current row. */
   async function tryClaim(
     call: CallAttempt,
     key: string,
--- a/packages/at-most-once/src/index.ts
+++ b/packages/at-most-once/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * Calls that must run at most once, and truthful answers about whether they ran.
+ * At-most-once execution of calls, and proof of whether a call ran.
  */
 export { claimKey, ClaimState } from './claim-record.js';
 export type { ClaimRecord, StoredResult } from './claim-record.js';
--- a/packages/at-most-once/src/plan-claim.ts
+++ b/packages/at-most-once/src/plan-claim.ts
@@ -1,6 +1,6 @@
 /**
- * Decides what an attempt may do in view of the claim row. Pure; the row's version makes the
- * following write conditional, so a decision from an outdated row fails instead of harming.
+ * Decides from the claim row what an attempt may do. Has no side effects; the write that
+ * follows is conditional on the row's version, so a decision based on a stale row has no effect.
  */
 import type { TableRow } from '@lapisbridge/platform';
 
@@ -33,7 +33,7 @@
 
 export interface ClaimAttempt {
   readonly digest: string;
-  /** Row version that the attempt goes on from, 0 for an absent row. */
+  /** Row version that this attempt expects; 0 if the row must not exist. */
   readonly claimVersion: number;
 }
 
@@ -57,8 +57,8 @@
         resultObject: record.resultObject,
       };
     case ClaimState.NotRun:
-      // An entry has told its caller "not run" on the strength of this row. A sidecar that was
-      // frozen meanwhile would run the call after all; its attempt names an older version.
+      // An entry may have replied "not run" to its caller because of this row. A sidecar that was
+      // paused meanwhile must not run the call; its attempt expects an older version.
       if (row.version !== own.claimVersion) {
         return { kind: ClaimPlanKind.Superseded, version: row.version };
       }
--- a/packages/at-most-once/src/prove-not-run.ts
+++ b/packages/at-most-once/src/prove-not-run.ts
@@ -1,8 +1,8 @@
 /**
- * Proves that a call did not run, or finds out what became of it. A reply "not run" is a
- * promise, and silence of a sidecar is no proof: frozen before its claim it could still run
- * the call later. So the proof is a write: it raises the row's version, and a claim that was
- * under way expects the older version and must fail.
+ * Proves that a call did not run, or reports its outcome. A "not run" reply must stay true, and
+ * an unresponsive sidecar proves nothing: if it was paused before its claim, it could still run
+ * the call later. The proof is therefore a write that increments the row's version: a pending
+ * claim expects the older version and fails.
  */
 import { writeConditionally, WriteOutcome } from '@lapisbridge/platform';
 import type { Table, TableRow } from '@lapisbridge/platform';
@@ -11,6 +11,7 @@
 import { claimKey, ClaimState } from './claim-record.js';
 import type { ClaimRecord, StoredResult } from './claim-record.js';
 
+/** The attempt to prove not run. `digest` is empty if the caller only asks for the outcome. */
 export interface CallReference {
   readonly account: string;
   readonly idempotencyKey: string;
@@ -18,29 +19,30 @@
   readonly digest: string;
 }
 
+/** Outcome of an at-most-once call, as far as the claim row tells. */
 export interface OutcomeReport {
   readonly outcome: RequestOutcome;
   /** False when the table could not be read or written. */
   readonly known: boolean;
   readonly result?: StoredResult;
   readonly resultObject?: string;
-  /** True when the key stands for another body. */
+  /** True if the key was already used with a different operation or body. */
   readonly keyReused?: boolean;
-  /** Row version that a new attempt must go on from. */
+  /** Row version that a new attempt must expect. */
   readonly version?: number;
-  /** The sidecar that claimed the call, while it runs. */
+  /** Sidecar that holds the claim, while the call is running. */
   readonly instanceId?: string;
 }
 
 export interface ProveNotRunOptions {
   readonly createNonce: () => string;
-  /** Set by the attempt's own sidecar, which knows that it has not dispatched. */
+  /** Set by the sidecar of this attempt, which knows that it has not dispatched the call. */
   readonly releaseOwnClaim?: boolean;
 }
 
 const MAXIMUM_CONDITIONAL_WRITES = 4;
 
-/** What a claim row says, without writing anything. */
+/** Derives the outcome of a call from its claim row, without a write. */
 export function outcomeFromRow(row: TableRow | null): OutcomeReport {
   if (row === null) return { outcome: RequestOutcome.NotRun, known: true };
   const record = row.value as ClaimRecord;
@@ -77,12 +79,16 @@
   return own && options.releaseOwnClaim === true;
 }
 
-/** A digest is empty where a caller only asks what became of a key. */
+/** A digest is empty if its writer only asked for the outcome of the key; it matches any other. */
 function hasDifferentDigest(record: ClaimRecord, call: CallReference): boolean {
   if (record.digest === '' || call.digest === '') return false;
   return record.digest !== call.digest;
 }
 
+/**
+ * Marks the call as not run if its row allows that, else reports the outcome in the row.
+ * `known` is false if the table did not respond or conflicts persisted.
+ */
 export async function proveNotRun(
   table: Table,
   environment: string,
--- a/packages/at-most-once/src/seen-keys.ts
+++ b/packages/at-most-once/src/seen-keys.ts
@@ -1,17 +1,18 @@
 /**
- * What one sidecar remembers of the at-most-once keys it was asked to run. While the table
- * is down no row can prove "not run"; then every sidecar of the service is asked for its
- * memory instead.
+ * In-memory set of the idempotency keys that one sidecar was asked to run. While the table is
+ * unavailable, no claim row can prove that a call did not run; the sidecars of the service are
+ * asked whether they have seen the key instead.
  */
 const MAXIMUM_KEYS = 100_000;
 
 export interface SeenKeys {
   add(account: string, idempotencyKey: string): void;
   has(account: string, idempotencyKey: string): boolean;
-  /** False once old keys had to be dropped: then absence proves nothing. */
+  /** False once old keys were evicted; a missing key then proves nothing. */
   readonly complete: boolean;
 }
 
+/** Keeps at most `maximum` keys and evicts the oldest first. */
 export function createSeenKeys(maximum = MAXIMUM_KEYS): SeenKeys {
   const keys = new Set<string>();
   let complete = true;
--- a/packages/at-most-once/src/transaction-batcher.ts
+++ b/packages/at-most-once/src/transaction-batcher.ts
@@ -1,12 +1,12 @@
 /**
- * Gathers the conditional writes of many calls into few table calls: the table takes several
- * hundred writes a second, and a busy site makes more claims than that.
+ * Batches the conditional writes of many calls into fewer table requests: the table accepts
+ * several hundred writes per second, and a busy site makes more claims than that.
  */
 import type { PutOperation, Table, TransactionResult } from '@lapisbridge/platform';
 
 const BATCH_DELAY_MILLISECONDS = 2;
 const MAXIMUM_BATCH_SIZE = 200;
-/** Calls that may be on their way at once; more would only queue at the table. */
+/** Further concurrent requests would only queue at the table. */
 const MAXIMUM_CONCURRENT_BATCHES = 4;
 
 interface PendingTransaction {
@@ -16,7 +16,7 @@
 }
 
 export interface TransactionBatcher {
-  /** Applies the puts wholly or not at all; rejects when no answer came. */
+  /** Applies the puts atomically. Rejects if the table did not respond. */
   submit(puts: readonly PutOperation[]): Promise<TransactionResult>;
 }
 
@@ -35,7 +35,8 @@
       const results = await table.transact(batch.map(({ puts }) => ({ puts })));
       for (const [index, one] of batch.entries()) {
         const result = results[index];
-        if (result === undefined) one.reject(new Error('the table answered too few results'));
+        if (result === undefined)
+          one.reject(new Error('the table returned fewer results than transactions'));
         else one.resolve(result);
       }
     } catch (thrown) {
@@ -62,7 +63,7 @@
   };
 }
 
-/** A table whose transactions go through the batcher; reads go straight. */
+/** Wraps a table so that its transactions are batched; reads are passed through. */
 export function createBatchingTable(table: Table): Table {
   const batcher = createTransactionBatcher(table);
   return {
