--- a/packages/entry/src/backend-pool.ts
+++ b/packages/entry/src/backend-pool.ts
@@ -10,7 +10,7 @@
 import { BackendServerKind, InstanceState } from '@lapisbridge/types';
 import type { InstanceRecord, LoadReport } from '@lapisbridge/types';
 import { dial, MessageKind, openChannel } from '@lapisbridge/wire';
-import type { AttemptName, KeyAnswer, Message } from '@lapisbridge/wire';
+import type { AttemptId, KeyAnswer, Message } from '@lapisbridge/wire';
 
 import { createConnection } from './backend-connection.js';
 import type { AttemptListener, Connection } from './backend-connection.js';
@@ -24,8 +24,8 @@
   /** Sidecars that may take new work for a model or service, as far as this entry knows. */
   candidates(kind: BackendServerKind, name: string): readonly Candidate[];
   /** Registers for an attempt's messages; false when the sidecar is not connected. */
-  listen(instanceId: string, name: AttemptName, listener: AttemptListener): boolean;
-  unlisten(instanceId: string, name: AttemptName): void;
+  listen(instanceId: string, name: AttemptId, listener: AttemptListener): boolean;
+  unlisten(instanceId: string, name: AttemptId): void;
   send(instanceId: string, message: Message): boolean;
   /** Waits for a usable connection, dialing when needed. */
   connect(instanceId: string, timeoutMilliseconds: number): Promise<boolean>;
@@ -44,11 +44,11 @@
 const MAXIMUM_REDIAL_MILLISECONDS = 2000;
 const REFRESH_MILLISECONDS = 1000;
 
-function listenerKey({ requestId, attempt }: AttemptName): string {
+function listenerKey({ requestId, attempt }: AttemptId): string {
   return `${requestId}#${attempt}`;
 }
 
-function belongsToAttempt(message: Message): message is Message & AttemptName {
+function belongsToAttempt(message: Message): message is Message & AttemptId {
   return 'requestId' in message;
 }
 
@@ -62,7 +62,7 @@
   const connections = new Map<string, Connection>();
   // Whoever hears a new digest asks for the state at once.
   instance.state.onChange(() => {
-    for (const { channel } of connections.values()) channel?.beat();
+    for (const { channel } of connections.values()) channel?.sendHeartbeat();
   });
   const keyQueries = createKeyQueries((instanceId, query) => {
     const connection = connections.get(instanceId);
@@ -113,7 +113,7 @@
     }
   }
 
-  function onAttemptMessage(connection: Connection, message: Message & AttemptName): void {
+  function onAttemptMessage(connection: Connection, message: Message & AttemptId): void {
     connection.listeners.get(listenerKey(message))?.onMessage(message);
     // After the listener: an ended attempt no longer counts among this entry's own.
     if ('load' in message) noteLoad(connection, message.load);
--- a/packages/entry/src/run-attempt.ts
+++ b/packages/entry/src/run-attempt.ts
@@ -2,7 +2,7 @@
  * What attempts of every kind share: listening to one sidecar until a message, the loss of the
  * connection, the time or the caller's leaving ends the attempt, whichever comes first.
  */
-import type { AttemptName, Message } from '@lapisbridge/wire';
+import type { AttemptId, Message } from '@lapisbridge/wire';
 
 import type { BackendPool } from './backend-pool.js';
 
@@ -15,7 +15,7 @@
 
 export interface AttemptWatch<Outcome> extends AttemptInput {
   /** Sent at the start; its name is what the sidecar's messages are recognised by. */
-  readonly message: Message & AttemptName;
+  readonly message: Message & AttemptId;
   readonly whenLost: Outcome;
   readonly whenTimedOut: Outcome;
   readonly whenCallerGone: Outcome;
@@ -26,7 +26,7 @@
 export function runAttempt<Outcome>(watch: AttemptWatch<Outcome>): Promise<Outcome> {
   const { pool, instanceId, message, callerGone } = watch;
   const { requestId, attempt } = message;
-  const name: AttemptName = { requestId, attempt };
+  const name: AttemptId = { requestId, attempt };
   return new Promise((resolve) => {
     let ended = false;
 
--- a/packages/instance/src/peer-listener.ts
+++ b/packages/instance/src/peer-listener.ts
@@ -93,7 +93,7 @@
       await closed;
     },
     beat() {
-      for (const channel of channels) channel.beat();
+      for (const channel of channels) channel.sendHeartbeat();
     },
     broadcast(message) {
       for (const channel of channels) channel.send(message);
--- a/packages/sidecar/src/call-runner.ts
+++ b/packages/sidecar/src/call-runner.ts
@@ -17,7 +17,7 @@
 import type { Logger } from '@lapisbridge/logger';
 import { OperationKind, Ran } from '@lapisbridge/types';
 import type { LoadReport } from '@lapisbridge/types';
-import type { AttemptName, CallStart, Channel, Resume } from '@lapisbridge/wire';
+import type { AttemptId, CallStart, Channel, Resume } from '@lapisbridge/wire';
 
 import type { BackgroundRetry } from './background-retry.js';
 import { answer, failure, refusal } from './call-replies.js';
@@ -57,7 +57,7 @@
   isBusy(): boolean;
   start(message: CallStart, channel: Channel): void;
   resume(message: Resume, channel: Channel): boolean;
-  cancel(name: AttemptName): void;
+  cancel(name: AttemptId): void;
 }
 
 /** Calls have no token count; one stands for an average of fair-queue tokens. */
@@ -65,7 +65,7 @@
 /** Time kept back from the caller's remaining time for the way back. */
 const RETURN_MILLISECONDS = 20;
 
-export function attemptName({ requestId, attempt }: AttemptName): string {
+export function attemptName({ requestId, attempt }: AttemptId): string {
   return `${requestId}#${attempt}`;
 }
 
--- a/packages/sidecar/src/draft-repair.test.ts
+++ b/packages/sidecar/src/draft-repair.test.ts
@@ -43,7 +43,7 @@
       send(message: Message) {
         if (message.kind === MessageKind.Chunk) sent.push(message);
       },
-      beat: () => undefined,
+      sendHeartbeat: () => undefined,
       acquire: () => undefined,
       release: () => undefined,
       close: () => undefined,
--- a/packages/sidecar/src/draft-run.ts
+++ b/packages/sidecar/src/draft-run.ts
@@ -8,7 +8,7 @@
 import { Ran } from '@lapisbridge/types';
 import type { LoadReport } from '@lapisbridge/types';
 import { MessageKind } from '@lapisbridge/wire';
-import type { AttemptName, Channel, DraftStart } from '@lapisbridge/wire';
+import type { AttemptId, Channel, DraftStart } from '@lapisbridge/wire';
 
 import { EngineOutcomeKind } from './engine-client.js';
 import type { EngineOutcome } from './engine-client.js';
@@ -65,7 +65,7 @@
   if (reader.offset === buffer.length) sendEnding(run, reader, name, load);
 }
 
-function sendEnding(run: Run, reader: Reader, name: AttemptName, load: () => LoadReport): void {
+function sendEnding(run: Run, reader: Reader, name: AttemptId, load: () => LoadReport): void {
   const { buffer, failure } = run;
   switch (buffer.status) {
     case AnswerStatus.Open:
--- a/packages/sidecar/src/draft-runner.ts
+++ b/packages/sidecar/src/draft-runner.ts
@@ -9,7 +9,7 @@
 import type { Logger } from '@lapisbridge/logger';
 import type { LoadReport } from '@lapisbridge/types';
 import { MessageKind } from '@lapisbridge/wire';
-import type { AttemptName, Channel, Credit, Detach, DraftStart, Resume } from '@lapisbridge/wire';
+import type { AttemptId, Channel, Credit, Detach, DraftStart, Resume } from '@lapisbridge/wire';
 
 import { attachReader, detachReader, pump } from './draft-run.js';
 import type { Run } from './draft-run.js';
@@ -37,7 +37,7 @@
   start(message: DraftStart, channel: Channel): void;
   resume(message: Resume, channel: Channel): boolean;
   credit(message: Credit): void;
-  cancel(name: AttemptName): void;
+  cancel(name: AttemptId): void;
   detach(message: Detach, channel: Channel): void;
   channelClosed(channel: Channel): void;
 }
--- a/packages/sidecar/src/sidecar.ts
+++ b/packages/sidecar/src/sidecar.ts
@@ -15,7 +15,7 @@
 import { Ran } from '@lapisbridge/types';
 import type { LoadReport } from '@lapisbridge/types';
 import { MessageKind } from '@lapisbridge/wire';
-import type { AttemptName, Channel, KeyQuery, Message, RankOrder, Resume } from '@lapisbridge/wire';
+import type { AttemptId, Channel, KeyQuery, Message, RankOrder, Resume } from '@lapisbridge/wire';
 
 import { createAvailabilityWatch } from './availability-watch.js';
 import { createBackgroundRetry } from './background-retry.js';
@@ -136,7 +136,7 @@
     };
   }
 
-  function unknownRequest(name: AttemptName, channel: Channel): void {
+  function unknownRequest(name: AttemptId, channel: Channel): void {
     channel.send({
       kind: MessageKind.Failed,
       requestId: name.requestId,
--- a/packages/wire/src/channel.ts
+++ b/packages/wire/src/channel.ts
@@ -8,23 +8,23 @@
 import type { Heartbeat, Message } from './messages.js';
 import { MessageKind } from './messages.js';
 
-export const HEARTBEAT_MILLISECONDS = 500;
-export const SILENCE_MILLISECONDS = 1500;
+export const HEARTBEAT_INTERVAL_MILLISECONDS = 500;
+export const SILENCE_TIMEOUT_MILLISECONDS = 1500;
 /** Most channels of a large fleet carry no request at a given time; they beat this much less often. */
-export const IDLE_FACTOR = 5;
+export const IDLE_INTERVAL_FACTOR = 5;
 
 export enum CloseReason {
-  Ended = 'ended',
-  Silent = 'silent',
-  BadFrame = 'badFrame',
-  Local = 'local',
+  Disconnected = 'ended',
+  PeerSilent = 'silent',
+  InvalidFrame = 'badFrame',
+  ClosedLocally = 'local',
 }
 
 export interface Channel {
   readonly closed: boolean;
   send(message: Message): void;
   /** Beats now instead of at the next turn, because its content has changed. */
-  beat(): void;
+  sendHeartbeat(): void;
   /** Counts a request in: while any is in progress, silence is noticed fast. */
   acquire(): void;
   release(): void;
@@ -39,35 +39,35 @@
 }
 
 export interface ChannelOptions {
-  readonly heartbeatMilliseconds?: number;
-  readonly silenceMilliseconds?: number;
+  readonly heartbeatIntervalMilliseconds?: number;
+  readonly silenceTimeoutMilliseconds?: number;
 }
 
-interface SilenceWatch {
-  heard(): void;
+interface SilenceMonitor {
+  recordActivity(): void;
   stop(): void;
 }
 
 /** `allowed` tells the silence that is allowed now; it is asked at each turn. */
-function watchSilence(
-  turnMilliseconds: number,
-  allowed: () => number,
+function monitorSilence(
+  checkIntervalMilliseconds: number,
+  silenceLimitMilliseconds: () => number,
   onSilent: () => void,
-): SilenceWatch {
-  let lastHeard = performance.now();
-  let lastTurn = lastHeard;
+): SilenceMonitor {
+  let lastActivity = performance.now();
+  let lastCheck = lastActivity;
   const timer = setInterval(() => {
     const now = performance.now();
     // When this process itself was paused, the peer's frames wait unread in the socket. Judging
     // silence from the pause would close every connection at once; so a late turn only re-arms.
-    const paused = now - lastTurn > turnMilliseconds * 2;
-    lastTurn = now;
-    if (paused) lastHeard = now;
-    else if (now - lastHeard > allowed()) onSilent();
-  }, turnMilliseconds);
+    const paused = now - lastCheck > checkIntervalMilliseconds * 2;
+    lastCheck = now;
+    if (paused) lastActivity = now;
+    else if (now - lastActivity > silenceLimitMilliseconds()) onSilent();
+  }, checkIntervalMilliseconds);
   return {
-    heard() {
-      lastHeard = performance.now();
+    recordActivity() {
+      lastActivity = performance.now();
     },
     stop() {
       clearInterval(timer);
@@ -88,12 +88,14 @@
   const reader = createFrameReader();
   let closed = false;
   let corked = false;
-  const state = { reason: CloseReason.Ended };
-  const heartbeatMilliseconds = options.heartbeatMilliseconds ?? HEARTBEAT_MILLISECONDS;
-  const silenceMilliseconds = options.silenceMilliseconds ?? SILENCE_MILLISECONDS;
+  const state = { reason: CloseReason.Disconnected };
+  const heartbeatIntervalMilliseconds =
+    options.heartbeatIntervalMilliseconds ?? HEARTBEAT_INTERVAL_MILLISECONDS;
+  const silenceTimeoutMilliseconds =
+    options.silenceTimeoutMilliseconds ?? SILENCE_TIMEOUT_MILLISECONDS;
   let requests = 0;
-  let turnsSinceBeat = 0;
-  let sentSinceTurn = false;
+  let intervalsSinceHeartbeat = 0;
+  let sentInInterval = false;
 
   const channel: Channel = {
     get closed() {
@@ -101,7 +103,7 @@
     },
     send(message) {
       if (closed) return;
-      sentSinceTurn = true;
+      sentInInterval = true;
       if (!corked) {
         corked = true;
         socket.cork();
@@ -112,58 +114,60 @@
       }
       socket.write(encodeFrame(message));
     },
-    beat() {
-      turnsSinceBeat = 0;
+    sendHeartbeat() {
+      intervalsSinceHeartbeat = 0;
       channel.send({ kind: MessageKind.Heartbeat, ...handlers.heartbeat() });
     },
     acquire() {
       // From an idle peer nothing may have come for a while: its fast beats begin only now.
-      if (requests === 0) silence.heard();
+      if (requests === 0) silenceMonitor.recordActivity();
       requests += 1;
     },
     release() {
       requests = Math.max(0, requests - 1);
     },
     close() {
-      end(CloseReason.Local);
+      end(CloseReason.ClosedLocally);
     },
   };
 
-  const allowedSilence = (): number =>
-    requests > 0 ? silenceMilliseconds : silenceMilliseconds * IDLE_FACTOR;
-  const silence = watchSilence(silenceMilliseconds / 3, allowedSilence, () =>
-    end(CloseReason.Silent),
+  const silenceLimitMilliseconds = (): number =>
+    requests > 0 ? silenceTimeoutMilliseconds : silenceTimeoutMilliseconds * IDLE_INTERVAL_FACTOR;
+  const silenceMonitor = monitorSilence(
+    silenceTimeoutMilliseconds / 3,
+    silenceLimitMilliseconds,
+    () => end(CloseReason.PeerSilent),
   );
-  const beat = setInterval(() => {
-    turnsSinceBeat += 1;
+  const heartbeatTimer = setInterval(() => {
+    intervalsSinceHeartbeat += 1;
     // Whatever else was sent proves the connection as well as a beat does.
-    const quiet = requests > 0 && !sentSinceTurn;
-    if (quiet || turnsSinceBeat >= IDLE_FACTOR) channel.beat();
-    sentSinceTurn = false;
-  }, heartbeatMilliseconds);
+    const quiet = requests > 0 && !sentInInterval;
+    if (quiet || intervalsSinceHeartbeat >= IDLE_INTERVAL_FACTOR) channel.sendHeartbeat();
+    sentInInterval = false;
+  }, heartbeatIntervalMilliseconds);
 
-  function finish(): void {
+  function notifyClosed(): void {
     if (closed) return;
     closed = true;
-    clearInterval(beat);
-    silence.stop();
+    clearInterval(heartbeatTimer);
+    silenceMonitor.stop();
     handlers.onClose(state.reason, channel);
   }
 
   function end(reason: CloseReason): void {
     state.reason = reason;
-    if (reason === CloseReason.Local) {
+    if (reason === CloseReason.ClosedLocally) {
       socket.end();
-      setTimeout(() => socket.destroy(), HEARTBEAT_MILLISECONDS).unref();
+      setTimeout(() => socket.destroy(), HEARTBEAT_INTERVAL_MILLISECONDS).unref();
     } else {
       socket.destroy();
     }
-    finish();
+    notifyClosed();
   }
 
   socket.setNoDelay(true);
   socket.on('data', (bytes: Buffer) => {
-    silence.heard();
+    silenceMonitor.recordActivity();
     try {
       for (const message of reader.push(bytes)) {
         if (closed) return;
@@ -171,10 +175,10 @@
       }
     } catch (thrown) {
       if (!(thrown instanceof RangeError)) throw thrown;
-      end(CloseReason.BadFrame);
+      end(CloseReason.InvalidFrame);
     }
   });
-  socket.on('error', () => finish());
-  socket.on('close', () => finish());
+  socket.on('error', () => notifyClosed());
+  socket.on('close', () => notifyClosed());
   return channel;
 }
--- a/packages/wire/src/dial.ts
+++ b/packages/wire/src/dial.ts
@@ -5,12 +5,12 @@
 import { connect } from 'node:net';
 import type { Socket } from 'node:net';
 
-export const CONNECT_MILLISECONDS = 1000;
+export const CONNECT_TIMEOUT_MILLISECONDS = 1000;
 
 export function dial(
   host: string,
   port: number,
-  timeoutMilliseconds = CONNECT_MILLISECONDS,
+  timeoutMilliseconds = CONNECT_TIMEOUT_MILLISECONDS,
 ): Promise<Socket> {
   return new Promise((resolve, reject) => {
     const socket = connect({ host, port });
--- a/packages/wire/src/frames.ts
+++ b/packages/wire/src/frames.ts
@@ -27,37 +27,38 @@
 }
 
 export function createFrameReader(): FrameReader {
-  let pieces: Buffer[] = [];
-  let held = 0;
-  let needed = LENGTH_BYTES;
+  let bufferedPieces: Buffer[] = [];
+  let bufferedBytes = 0;
+  let requiredBytes = LENGTH_BYTES;
 
-  function takeWhole(buffer: Buffer, messages: Message[]): number {
+  function decodeCompleteFrames(buffer: Buffer, messages: Message[]): number {
     let position = 0;
     while (buffer.length - position >= LENGTH_BYTES) {
       const length = buffer.readUInt32BE(position);
       if (length > MAXIMUM_FRAME_BYTES) throw new RangeError(`frame of ${length} bytes`);
       const end = position + LENGTH_BYTES + length;
       if (end > buffer.length) {
-        needed = end - position;
+        requiredBytes = end - position;
         return position;
       }
       messages.push(codec.decode(buffer.subarray(position + LENGTH_BYTES, end)) as Message);
       position = end;
     }
-    needed = LENGTH_BYTES;
+    requiredBytes = LENGTH_BYTES;
     return position;
   }
 
   return {
     push(bytes) {
       const messages: Message[] = [];
-      pieces.push(bytes);
-      held += bytes.length;
-      if (held < needed) return messages;
-      const buffer = pieces.length === 1 ? bytes : Buffer.concat(pieces, held);
-      const position = takeWhole(buffer, messages);
-      pieces = position === buffer.length ? [] : [buffer.subarray(position)];
-      held = buffer.length - position;
+      bufferedPieces.push(bytes);
+      bufferedBytes += bytes.length;
+      if (bufferedBytes < requiredBytes) return messages;
+      const buffer =
+        bufferedPieces.length === 1 ? bytes : Buffer.concat(bufferedPieces, bufferedBytes);
+      const position = decodeCompleteFrames(buffer, messages);
+      bufferedPieces = position === buffer.length ? [] : [buffer.subarray(position)];
+      bufferedBytes = buffer.length - position;
       return messages;
     },
   };
--- a/packages/wire/src/index.ts
+++ b/packages/wire/src/index.ts
@@ -6,9 +6,9 @@
 export type { FrameReader } from './frames.js';
 export {
   CloseReason,
-  HEARTBEAT_MILLISECONDS,
+  HEARTBEAT_INTERVAL_MILLISECONDS,
   openChannel,
-  SILENCE_MILLISECONDS,
+  SILENCE_TIMEOUT_MILLISECONDS,
 } from './channel.js';
 export type { Channel, ChannelHandlers, ChannelOptions } from './channel.js';
-export { CONNECT_MILLISECONDS, dial } from './dial.js';
+export { CONNECT_TIMEOUT_MILLISECONDS, dial } from './dial.js';
--- a/packages/wire/src/messages.ts
+++ b/packages/wire/src/messages.ts
@@ -66,13 +66,13 @@
 }
 
 /** Names one attempt at one request; late frames of an older attempt are dropped by it. */
-export interface AttemptName {
+export interface AttemptId {
   readonly requestId: string;
   readonly attempt: number;
 }
 
 /** Starts a draft on a model runner. `deliveredText` is what earlier attempts already gave the caller. */
-export interface DraftStart extends AttemptName {
+export interface DraftStart extends AttemptId {
   readonly kind: MessageKind.DraftStart;
   readonly entryId: string;
   readonly account: string;
@@ -88,7 +88,7 @@
 }
 
 /** Starts a call of a plain service's operation. */
-export interface CallStart extends AttemptName {
+export interface CallStart extends AttemptId {
   readonly kind: MessageKind.CallStart;
   readonly account: string;
   readonly service: string;
@@ -106,22 +106,22 @@
 }
 
 /** Lets the sidecar send that many more characters of an answer. */
-export interface Credit extends AttemptName {
+export interface Credit extends AttemptId {
   readonly kind: MessageKind.Credit;
   readonly characters: number;
 }
 
-export interface Cancel extends AttemptName {
+export interface Cancel extends AttemptId {
   readonly kind: MessageKind.Cancel;
 }
 
 /** The caller's connection broke; it may come back for the rest through any entry. */
-export interface Detach extends AttemptName {
+export interface Detach extends AttemptId {
   readonly kind: MessageKind.Detach;
 }
 
 /** Asks for the rest of an answer that this sidecar holds, from an offset. */
-export interface Resume extends AttemptName {
+export interface Resume extends AttemptId {
   readonly kind: MessageKind.Resume;
   readonly entryId: string;
   readonly account: string;
@@ -140,7 +140,7 @@
 }
 
 /** Nothing was dispatched for this attempt, and nothing will be. */
-export interface Refused extends AttemptName {
+export interface Refused extends AttemptId {
   readonly kind: MessageKind.Refused;
   readonly code: ResultCode;
   readonly reason: string;
@@ -150,7 +150,7 @@
   readonly load?: LoadReport;
 }
 
-export interface Chunk extends AttemptName {
+export interface Chunk extends AttemptId {
   readonly kind: MessageKind.Chunk;
   readonly offset: number;
   readonly text: string;
@@ -159,7 +159,7 @@
 }
 
 /** The answer is whole: `totalCharacters` counts what all attempts delivered together. */
-export interface End extends AttemptName {
+export interface End extends AttemptId {
   readonly kind: MessageKind.End;
   readonly totalCharacters: number;
   readonly finishReason: string;
@@ -167,7 +167,7 @@
   readonly load?: LoadReport;
 }
 
-export interface CallAnswer extends AttemptName {
+export interface CallAnswer extends AttemptId {
   readonly kind: MessageKind.CallAnswer;
   readonly status: number;
   readonly contentType: string;
@@ -177,7 +177,7 @@
 }
 
 /** The attempt ended without a whole answer. */
-export interface Failed extends AttemptName {
+export interface Failed extends AttemptId {
   readonly kind: MessageKind.Failed;
   readonly code: ResultCode;
   readonly reason: string;
--- a/packages/wire/src/wire.test.ts
+++ b/packages/wire/src/wire.test.ts
@@ -18,7 +18,7 @@
 } from './index.js';
 import type { Message } from './index.js';
 
-const QUIET = { heartbeat: () => ({ stateDigest: '' }) };
+const EMPTY_HEARTBEAT = { heartbeat: () => ({ stateDigest: '' }) };
 const servers: Server[] = [];
 const sockets: Socket[] = [];
 
@@ -81,11 +81,11 @@
     const socket = await dial('127.0.0.1', port);
     sockets.push(socket);
     const reason = await new Promise<CloseReason>((resolve) => {
-      const handlers = { onMessage: () => undefined, onClose: resolve, ...QUIET };
-      const options = { silenceMilliseconds: 150, heartbeatMilliseconds: 50 };
+      const handlers = { onMessage: () => undefined, onClose: resolve, ...EMPTY_HEARTBEAT };
+      const options = { silenceTimeoutMilliseconds: 150, heartbeatIntervalMilliseconds: 50 };
       openChannel(socket, handlers, options).acquire();
     });
-    expect(reason).toBe(CloseReason.Silent);
+    expect(reason).toBe(CloseReason.PeerSilent);
   });
 
   it('stays open while idle, although its peer beats less often than a busy one must', async () => {
@@ -94,8 +94,8 @@
     const port = await listen((socket) => {
       openChannel(
         socket,
-        { onMessage: () => undefined, onClose: () => undefined, ...QUIET },
-        { heartbeatMilliseconds: 50 },
+        { onMessage: () => undefined, onClose: () => undefined, ...EMPTY_HEARTBEAT },
+        { heartbeatIntervalMilliseconds: 50 },
       );
     });
     const socket = await dial('127.0.0.1', port);
@@ -109,9 +109,12 @@
           if (beats === 3) resolve();
         },
         onClose: (reason: CloseReason) => void closed.push(reason),
-        ...QUIET,
+        ...EMPTY_HEARTBEAT,
       };
-      openChannel(socket, handlers, { silenceMilliseconds: 150, heartbeatMilliseconds: 50 });
+      openChannel(socket, handlers, {
+        silenceTimeoutMilliseconds: 150,
+        heartbeatIntervalMilliseconds: 50,
+      });
     });
     expect(closed).toEqual([]);
   });
@@ -121,9 +124,9 @@
     const socket = await dial('127.0.0.1', port);
     sockets.push(socket);
     const reason = await new Promise<CloseReason>((resolve) => {
-      openChannel(socket, { onMessage: () => undefined, onClose: resolve, ...QUIET });
+      openChannel(socket, { onMessage: () => undefined, onClose: resolve, ...EMPTY_HEARTBEAT });
     });
-    expect(reason).toBe(CloseReason.BadFrame);
+    expect(reason).toBe(CloseReason.InvalidFrame);
   });
 
   it('carries messages in both directions', async () => {
@@ -131,7 +134,7 @@
       const channel = openChannel(socket, {
         onMessage: () => channel.send({ kind: MessageKind.Goodbye }),
         onClose: () => undefined,
-        ...QUIET,
+        ...EMPTY_HEARTBEAT,
       });
     });
     const socket = await dial('127.0.0.1', port);
@@ -140,7 +143,7 @@
       const channel = openChannel(socket, {
         onMessage: (message) => resolve(message.kind),
         onClose: () => undefined,
-        ...QUIET,
+        ...EMPTY_HEARTBEAT,
       });
       channel.send({ kind: MessageKind.StateRequest });
     });
