--- a/packages/wire/src/channel.ts
+++ b/packages/wire/src/channel.ts
@@ -1,5 +1,5 @@
 /**
- * A channel: one TCP connection between two of the system's processes, with frames and
+ * A channel is a TCP connection between two of the system's processes that carries frames and
  * heartbeats in both directions.
  */
 import type { Socket } from 'node:net';
@@ -10,7 +10,10 @@
 
 export const HEARTBEAT_INTERVAL_MILLISECONDS = 500;
 export const SILENCE_TIMEOUT_MILLISECONDS = 1500;
-/** Most channels of a large fleet carry no request at a given time; they beat this much less often. */
+/**
+ * Factor on the heartbeat interval and the silence timeout of a channel without requests. Most
+ * channels of a large fleet have none at a given time, so this saves most of the heartbeats.
+ */
 export const IDLE_INTERVAL_FACTOR = 5;
 
 export enum CloseReason {
@@ -23,10 +26,11 @@
 export interface Channel {
   readonly closed: boolean;
   send(message: Message): void;
-  /** Beats now instead of at the next turn, because its content has changed. */
+  /** Sends a heartbeat at once instead of at the next interval, because its content has changed. */
   sendHeartbeat(): void;
-  /** Counts a request in: while any is in progress, silence is noticed fast. */
+  /** Counts a request as in progress; while there are any, silence is detected faster. */
   acquire(): void;
+  /** Ends a request that `acquire` counted. */
   release(): void;
   close(): void;
 }
@@ -48,7 +52,7 @@
   stop(): void;
 }
 
-/** `allowed` tells the silence that is allowed now; it is asked at each turn. */
+/** Calls `onSilent` when the limit is exceeded. The limit is read anew at each check. */
 function monitorSilence(
   checkIntervalMilliseconds: number,
   silenceLimitMilliseconds: () => number,
@@ -58,8 +62,8 @@
   let lastCheck = lastActivity;
   const timer = setInterval(() => {
     const now = performance.now();
-    // When this process itself was paused, the peer's frames wait unread in the socket. Judging
-    // silence from the pause would close every connection at once; so a late turn only re-arms.
+    // If this process itself was paused, the peer's frames are still unread in the socket. Counting
+    // the pause as silence would close every connection, so a late check only resets the time.
     const paused = now - lastCheck > checkIntervalMilliseconds * 2;
     lastCheck = now;
     if (paused) lastActivity = now;
@@ -76,9 +80,9 @@
 }
 
 /**
- * Takes a connected socket. A path between two ends can lose track of a connection, which
- * then stays silent for good although new ones work; TCP alone notices after minutes.
- * Heartbeats notice within the silence time and close it, and the owner dials a new one.
+ * Opens a channel on a connected socket. A network device can drop the state of a connection,
+ * which then stays silent although new connections work; TCP alone detects this after minutes.
+ * Missing heartbeats close it within the silence timeout, and the owner opens a new connection.
  */
 export function openChannel(
   socket: Socket,
@@ -119,7 +123,7 @@
       channel.send({ kind: MessageKind.Heartbeat, ...handlers.heartbeat() });
     },
     acquire() {
-      // From an idle peer nothing may have come for a while: its fast beats begin only now.
+      // An idle peer may not have sent anything for a while; its faster heartbeats begin only now.
       if (requests === 0) silenceMonitor.recordActivity();
       requests += 1;
     },
@@ -140,7 +144,7 @@
   );
   const heartbeatTimer = setInterval(() => {
     intervalsSinceHeartbeat += 1;
-    // Whatever else was sent proves the connection as well as a beat does.
+    // Any other message shows that the connection works as well as a heartbeat does.
     const quiet = requests > 0 && !sentInInterval;
     if (quiet || intervalsSinceHeartbeat >= IDLE_INTERVAL_FACTOR) channel.sendHeartbeat();
     sentInInterval = false;
--- a/packages/wire/src/dial.ts
+++ b/packages/wire/src/dial.ts
@@ -1,12 +1,13 @@
 /**
- * Dials a peer by IP and port. A connect that gets no answer is given up early: the peer's
- * host may be cut off, and then the operating system would wait for minutes.
+ * Opens a TCP connection to a peer. A connection attempt without a response is aborted early: if
+ * the peer's host is unreachable, the operating system would wait for minutes.
  */
 import { connect } from 'node:net';
 import type { Socket } from 'node:net';
 
 export const CONNECT_TIMEOUT_MILLISECONDS = 1000;
 
+/** Resolves to the connected socket. Rejects on a socket error or after the timeout. */
 export function dial(
   host: string,
   port: number,
@@ -16,7 +17,7 @@
     const socket = connect({ host, port });
     const timer = setTimeout(() => {
       socket.destroy();
-      reject(new Error(`no connection to ${host}:${port} in ${timeoutMilliseconds} ms`));
+      reject(new Error(`connection to ${host}:${port} timed out after ${timeoutMilliseconds} ms`));
     }, timeoutMilliseconds);
     socket.once('connect', () => {
       clearTimeout(timer);
--- a/packages/wire/src/frames.ts
+++ b/packages/wire/src/frames.ts
@@ -1,6 +1,6 @@
 /**
- * Frames: four bytes of length, then a CBOR body. The length is bounded, so that a wrong
- * or hostile peer cannot make this process reserve memory without end.
+ * Frames: a length of four bytes (big-endian), then a CBOR body. The length is bounded, so that
+ * a faulty or hostile peer cannot make this process allocate unlimited memory.
  */
 import { Encoder } from 'cbor-x';
 
@@ -8,7 +8,7 @@
 
 const LENGTH_BYTES = 4;
 
-/** Largest body of one frame, in bytes: the largest document or request body plus its envelope. */
+/** Maximum frame body in bytes: the largest document or request body plus its envelope. */
 export const MAXIMUM_FRAME_BYTES = 17 * 1024 * 1024;
 
 const codec = new Encoder({ useRecords: false, tagUint8Array: false });
@@ -22,7 +22,7 @@
 }
 
 export interface FrameReader {
-  /** Takes bytes as they arrive and returns the whole messages among them. Throws on a frame out of bounds. */
+  /** Returns the messages that `bytes` completes. Throws `RangeError` on an oversized frame. */
   push(bytes: Buffer): readonly Message[];
 }
 
@@ -35,7 +35,8 @@
     let position = 0;
     while (buffer.length - position >= LENGTH_BYTES) {
       const length = buffer.readUInt32BE(position);
-      if (length > MAXIMUM_FRAME_BYTES) throw new RangeError(`frame of ${length} bytes`);
+      if (length > MAXIMUM_FRAME_BYTES)
+        throw new RangeError(`frame of ${length} bytes exceeds the maximum size`);
       const end = position + LENGTH_BYTES + length;
       if (end > buffer.length) {
         requiredBytes = end - position;
--- a/packages/wire/src/index.ts
+++ b/packages/wire/src/index.ts
@@ -1,5 +1,5 @@
 /**
- * The system's own protocol: messages, frames and channels.
+ * The internal protocol between the system's processes: messages, frames and channels.
  */
 export * from './messages.js';
 export { createFrameReader, encodeFrame, MAXIMUM_FRAME_BYTES } from './frames.js';
--- a/packages/wire/src/messages.ts
+++ b/packages/wire/src/messages.ts
@@ -1,7 +1,7 @@
 /**
- * Messages between the system's own processes: one discriminated union per direction.
- * Times are remaining milliseconds, never clock readings, since clocks of two machines
- * differ. Offsets count UTF-16 code units of answer text.
+ * Messages between the system's processes, as one discriminated union. Times are remaining
+ * milliseconds, never timestamps, because the clocks of two machines differ. Offsets count
+ * UTF-16 code units of the response text.
  */
 import type { ResultCode } from '@lapisbridge/errors';
 import type { LoadReport, OperationKind, Ran } from '@lapisbridge/types';
@@ -43,14 +43,14 @@
   readonly load?: LoadReport;
 }
 
-/** Keeps a connection proved alive and carries the digest of the shared state. */
+/** Shows that the connection is alive and carries the digest of the shared state. */
 export interface Heartbeat {
   readonly kind: MessageKind.Heartbeat;
   readonly stateDigest: string;
   readonly load?: LoadReport;
 }
 
-/** The sender is about to exit: peers stop choosing it at once. */
+/** The sender is about to exit; peers stop selecting it at once. */
 export interface Goodbye {
   readonly kind: MessageKind.Goodbye;
 }
@@ -59,19 +59,19 @@
   readonly kind: MessageKind.StateRequest;
 }
 
-/** The sender's whole shared state as deflated JSON text; the receiver merges it. */
+/** The sender's complete shared state as deflated JSON; the receiver merges it. */
 export interface StateReply {
   readonly kind: MessageKind.StateReply;
   readonly state: Uint8Array;
 }
 
-/** Names one attempt at one request; late frames of an older attempt are dropped by it. */
+/** Identifies one attempt of a request, so that late frames of an older attempt are dropped. */
 export interface AttemptId {
   readonly requestId: string;
   readonly attempt: number;
 }
 
-/** Starts a draft on a model runner. `deliveredText` is what earlier attempts already gave the caller. */
+/** Starts a draft on a model runner. `deliveredText` was already sent by earlier attempts. */
 export interface DraftStart extends AttemptId {
   readonly kind: MessageKind.DraftStart;
   readonly entryId: string;
@@ -101,11 +101,11 @@
   /** Empty for idempotent operations. */
   readonly idempotencyKey: string;
   readonly digest: string;
-  /** Version of the claim row that this attempt goes on from, 0 when it must be absent. */
+  /** Version of the claim row that this attempt expects; 0 if the row must not exist. */
   readonly claimVersion: number;
 }
 
-/** Lets the sidecar send that many more characters of an answer. */
+/** Flow control: permits the sidecar to send this many more characters of the response. */
 export interface Credit extends AttemptId {
   readonly kind: MessageKind.Credit;
   readonly characters: number;
@@ -115,23 +115,23 @@
   readonly kind: MessageKind.Cancel;
 }
 
-/** The caller's connection broke; it may come back for the rest through any entry. */
+/** The caller's connection broke; the caller may resume the response through any entry. */
 export interface Detach extends AttemptId {
   readonly kind: MessageKind.Detach;
 }
 
-/** Asks for the rest of an answer that this sidecar holds, from an offset. */
+/** Requests the rest of a response that this sidecar holds, from an offset. */
 export interface Resume extends AttemptId {
   readonly kind: MessageKind.Resume;
   readonly entryId: string;
   readonly account: string;
   readonly offset: number;
   readonly credit: number;
-  /** The caller itself came back through this entry, which from now on owns the answer. */
+  /** The caller reconnected through this entry, which owns the response from now on. */
   readonly takeOver: boolean;
 }
 
-/** Asks what the sidecar itself remembers of an at-most-once key; used while the store is down. */
+/** Asks whether the sidecar has seen an idempotency key; used while the table is unavailable. */
 export interface KeyQuery {
   readonly kind: MessageKind.KeyQuery;
   readonly queryId: number;
@@ -145,7 +145,7 @@
   readonly code: ResultCode;
   readonly reason: string;
   readonly retryAfterMilliseconds: number;
-  /** The claim row has moved on to this version; a new attempt may go on from there. */
+  /** Current version of the claim row, which a new attempt must expect. */
   readonly claimVersion?: number;
   readonly load?: LoadReport;
 }
@@ -158,7 +158,7 @@
   readonly tokens: number;
 }
 
-/** The answer is whole: `totalCharacters` counts what all attempts delivered together. */
+/** The response is complete; `totalCharacters` counts the text delivered by all attempts. */
 export interface End extends AttemptId {
   readonly kind: MessageKind.End;
   readonly totalCharacters: number;
@@ -176,7 +176,7 @@
   readonly load?: LoadReport;
 }
 
-/** The attempt ended without a whole answer. */
+/** The attempt ended without a complete response. */
 export interface Failed extends AttemptId {
   readonly kind: MessageKind.Failed;
   readonly code: ResultCode;
@@ -190,13 +190,13 @@
   readonly kind: MessageKind.KeyAnswer;
   readonly queryId: number;
   readonly seen: boolean;
-  /** Sidecar lives of the same service that were registered before or with this one. */
+  /** Lives of the service's sidecars that were registered before or with this one. */
   readonly knownLives: readonly string[];
-  /** This sidecar's own life: instance id and start. */
+  /** This sidecar's own life: one run of its process, as instance id and start. */
   readonly life: string;
 }
 
-/** An order of a group's leader to one rank's sidecar. */
+/** A command from a group's leader to the sidecar of one rank. */
 export interface RankOrder {
   readonly kind: MessageKind.RankOrder;
   readonly orderId: number;
@@ -205,7 +205,7 @@
   readonly fencingNumber: number;
   readonly rollout: number;
   readonly mapVersion: number;
-  /** The map as JSON text; empty but for the order to prepare. */
+  /** The map as JSON; empty except in the command to prepare. */
   readonly map: string;
 }
 
@@ -215,17 +215,17 @@
   readonly code: ResultCode;
   readonly activeVersion: number;
   readonly paused: boolean;
-  /** Token counts and speed of the rank as JSON text; only in answer to a query. */
+  /** Token counts and speed of the rank as JSON; only in the reply to a query. */
   readonly statistics: string;
 }
 
-/** Asks another entry for its decisions about one subject. */
+/** Requests another entry's decisions about one subject. */
 export interface ExplainRequest {
   readonly kind: MessageKind.ExplainRequest;
   readonly subject: string;
 }
 
-/** Decision records as JSON text. */
+/** Decision records as JSON. */
 export interface ExplainReply {
   readonly kind: MessageKind.ExplainReply;
   readonly decisions: string;
--- a/packages/wire/src/wire.test.ts
+++ b/packages/wire/src/wire.test.ts
@@ -39,7 +39,7 @@
 }
 
 describe('frames', () => {
-  it('come out as they went in, however the bytes are cut', () => {
+  it('decode to the encoded messages, however the bytes are split', () => {
     const chunks = fc.array(
       fc.record({ offset: fc.nat(), text: fc.string({ unit: 'binary' }), tokens: fc.nat() }),
     );
@@ -64,9 +64,9 @@
     );
   });
 
-  it('refuses a frame out of bounds before reserving memory for it', () => {
-    // A stray program on the port sends bytes that read as a huge length. Without a bound this
-    // process would wait for gigabytes and its memory would grow until it dies.
+  it('rejects an oversized frame before allocating memory for it', () => {
+    // An unrelated program sends bytes that decode to a huge length. Without a bound this process
+    // would buffer gigabytes and run out of memory.
     const frame = Buffer.alloc(4);
     frame.writeUInt32BE(MAXIMUM_FRAME_BYTES + 1);
     expect(() => createFrameReader().push(frame)).toThrow(RangeError);
@@ -74,8 +74,8 @@
 });
 
 describe('a channel', () => {
-  it('is closed as silent when its peer says nothing any more', async () => {
-    // Something between the two ends lost track of the connection: it stays open and silent.
+  it('is closed as silent when its peer stops sending', async () => {
+    // A network device dropped the state of the connection, which stays open and silent.
     // Requests on it would hang until their deadline although a new connection would work.
     const port = await listen(() => undefined);
     const socket = await dial('127.0.0.1', port);
@@ -88,9 +88,9 @@
     expect(reason).toBe(CloseReason.PeerSilent);
   });
 
-  it('stays open while idle, although its peer beats less often than a busy one must', async () => {
-    // Both ends idle: the peer beats at a fifth of the busy rate. Judged by the busy limit each
-    // connection would be closed and dialed again all the time.
+  it('stays open while idle, although its peer sends fewer heartbeats than a busy one', async () => {
+    // Both ends are idle, so the peer sends heartbeats at a fifth of the busy rate. The busy
+    // timeout would close and reopen every idle connection continually.
     const port = await listen((socket) => {
       openChannel(
         socket,
@@ -119,7 +119,7 @@
     expect(closed).toEqual([]);
   });
 
-  it('is closed on a frame that cannot be read', async () => {
+  it('is closed on an invalid frame', async () => {
     const port = await listen((socket) => socket.write(Buffer.alloc(8, 0xff)));
     const socket = await dial('127.0.0.1', port);
     sockets.push(socket);
