--- a/packages/at-most-once/src/at-most-once.test.ts
+++ b/packages/at-most-once/src/at-most-once.test.ts
@@ -1,5 +1,5 @@
 /**
- * Claims under interleaved attempts, lost answers, late writes, freezes and deaths.
+ * Claims under interleaved attempts, lost responses, late writes, paused sidecars and crashes.
  */
 import { CallFate, createFakeTable } from '@lapisbridge/test-support';
 import { RequestOutcome } from '@lapisbridge/types';
@@ -7,9 +7,9 @@
 import { describe, expect, it } from 'vitest';
 
 import { ClaimState } from './claim-record.js';
-import { ClaimResultKind, createClaims } from './claims.js';
-import type { Call, Claims } from './claims.js';
-import { outcomeOf, proveNotRun } from './prove-not-run.js';
+import { ClaimResultKind, createClaimStore } from './claim-store.js';
+import type { CallAttempt, ClaimStore } from './claim-store.js';
+import { outcomeFromRow, proveNotRun } from './prove-not-run.js';
 
 const ENVIRONMENT = 'test';
 const RESULT = { status: 200, contentType: 'text/plain', body: '' };
@@ -21,8 +21,11 @@
   return `nonce-${nonce}`;
 }
 
-function claimsOn(table: ReturnType<typeof createFakeTable>, instanceId: string): Claims {
-  return createClaims({
+function createTestClaimStore(
+  table: ReturnType<typeof createFakeTable>,
+  instanceId: string,
+): ClaimStore {
+  return createClaimStore({
     table,
     objects: OBJECTS,
     environment: ENVIRONMENT,
@@ -31,11 +34,11 @@
   });
 }
 
-function call(attempt: string, claimVersion = 0, digest = 'digest'): Call {
+function call(attempt: string, claimVersion = 0, digest = 'digest'): CallAttempt {
   return { account: 'account', idempotencyKey: 'key', attempt, digest, claimVersion };
 }
 
-enum Death {
+enum FailurePoint {
   None = 'none',
   BeforeClaim = 'beforeClaim',
   AfterClaim = 'afterClaim',
@@ -43,8 +46,8 @@
 }
 
 interface AttemptPlan {
-  readonly death: Death;
-  /** The entry stops waiting and asks for proof, as it does when a sidecar is frozen. */
+  readonly failurePoint: FailurePoint;
+  /** The entry stops waiting and calls `proveNotRun`, as it does when a sidecar is paused. */
   readonly entryProves: boolean;
 }
 
@@ -58,17 +61,17 @@
 );
 const plans = fc.array(
   fc.record<AttemptPlan>({
-    death: fc.constantFrom(...Object.values(Death)),
+    failurePoint: fc.constantFrom(...Object.values(FailurePoint)),
     entryProves: fc.boolean(),
   }),
   { minLength: 2, maxLength: 4 },
 );
 
-describe('at most once', () => {
+describe('at-most-once calls', () => {
   it('executes a call at most once and says "not run" only when it did not run', async () => {
-    // A caller repeats a booking through several entries. Sidecars die or freeze at any point
-    // between claim and dispatch, and the table loses answers or applies writes late. A second
-    // execution would book a slot twice; a wrong "not run" makes the caller book elsewhere too.
+    // A caller retries a booking through several entries. Sidecars crash or pause at any point
+    // between claim and dispatch, and the table loses responses or applies writes late. A second
+    // execution would book a slot twice; a wrong "not run" would make the caller book elsewhere.
     await fc.assert(
       fc.asyncProperty(
         fc.scheduler(),
@@ -85,16 +88,16 @@
           });
 
           async function runSidecar(name: string, plan: AttemptPlan): Promise<RequestOutcome> {
-            if (plan.death === Death.BeforeClaim) return RequestOutcome.Unknown;
-            const claims = claimsOn(table, name);
+            if (plan.failurePoint === FailurePoint.BeforeClaim) return RequestOutcome.Unknown;
+            const claims = createTestClaimStore(table, name);
             const won = await claims.claim(call(name));
             if (won.kind === ClaimResultKind.Replay) return RequestOutcome.Done;
-            if (won.kind !== ClaimResultKind.Won) return RequestOutcome.Unknown;
-            if (plan.death === Death.AfterClaim) return RequestOutcome.Unknown;
-            await scheduler.schedule(Promise.resolve(), 'frozen before dispatch');
+            if (won.kind !== ClaimResultKind.Acquired) return RequestOutcome.Unknown;
+            if (plan.failurePoint === FailurePoint.AfterClaim) return RequestOutcome.Unknown;
+            await scheduler.schedule(Promise.resolve(), 'paused before dispatch');
             effects.push(name);
-            if (plan.death === Death.AfterDispatch) return RequestOutcome.Unknown;
-            await claims.settle(won.claim, ClaimState.Done, RESULT);
+            if (plan.failurePoint === FailurePoint.AfterDispatch) return RequestOutcome.Unknown;
+            await claims.storeOutcome(won.claim, ClaimState.Done, RESULT);
             return RequestOutcome.Done;
           }
 
@@ -125,9 +128,9 @@
     );
   });
 
-  it('recognises its own claim when the answer of the write was lost', async () => {
-    // The table took the claim and its answer was lost. Taking the conflict of a plain retry for
-    // another sidecar's claim would leave the call unexecuted and the caller without an answer.
+  it('recognises its own claim when the response to the write was lost', async () => {
+    // The table applied the claim and its response was lost. If the conflict on retry were taken
+    // for another sidecar's claim, nobody would run the call and the caller would get no reply.
     let first = true;
     const table = createFakeTable({
       writeFate() {
@@ -138,52 +141,52 @@
       readFate: () => CallFate.Answered,
       pause: () => Promise.resolve(),
     });
-    const result = await claimsOn(table, 'one').claim(call('a'));
-    expect(result.kind).toBe(ClaimResultKind.Won);
+    const result = await createTestClaimStore(table, 'one').claim(call('a'));
+    expect(result.kind).toBe(ClaimResultKind.Acquired);
   });
 
-  it('never lets an attempt claim that was proved not run while it was frozen', async () => {
-    // The entry lost its sidecar, proved "not run" and said so. The sidecar thaws and claims. If
-    // that went through, a booking would stand that its caller was told does not exist.
+  it('refuses the claim of an attempt that was proved not run while it was paused', async () => {
+    // The entry lost its sidecar, proved "not run" and replied so. Then the sidecar resumes and
+    // claims. If the claim succeeded, a booking would exist that its caller was told did not run.
     const table = createFakeTable();
-    const proof = await proveNotRun(table, ENVIRONMENT, call('frozen'), { createNonce });
+    const proof = await proveNotRun(table, ENVIRONMENT, call('paused'), { createNonce });
     expect(proof.outcome).toBe(RequestOutcome.NotRun);
-    const thawed = await claimsOn(table, 'one').claim(call('frozen'));
-    expect(thawed).toEqual({ kind: ClaimResultKind.Superseded, version: 1 });
-    const next = await claimsOn(table, 'two').claim(call('next', 1));
-    expect(next.kind).toBe(ClaimResultKind.Won);
+    const resumed = await createTestClaimStore(table, 'one').claim(call('paused'));
+    expect(resumed).toEqual({ kind: ClaimResultKind.Superseded, version: 1 });
+    const next = await createTestClaimStore(table, 'two').claim(call('next', 1));
+    expect(next.kind).toBe(ClaimResultKind.Acquired);
   });
 
-  it('refuses the same key with another body', async () => {
-    // A caller's mistake: one key for two bookings. Replaying the first answer for the second
-    // would make the caller believe that the second slot is booked.
+  it('refuses a key that is reused with a different body', async () => {
+    // A caller uses one key for two bookings by mistake. Replaying the first response for the
+    // second would make the caller believe that the second slot is booked.
     const table = createFakeTable();
-    const claims = claimsOn(table, 'one');
+    const claims = createTestClaimStore(table, 'one');
     const won = await claims.claim(call('a'));
-    if (won.kind !== ClaimResultKind.Won) throw new Error('not won');
-    await claims.settle(won.claim, ClaimState.Done, RESULT);
+    if (won.kind !== ClaimResultKind.Acquired) throw new Error('claim not acquired');
+    await claims.storeOutcome(won.claim, ClaimState.Done, RESULT);
     const reused = await claims.claim(call('b', 0, 'other digest'));
     expect(reused).toEqual({ kind: ClaimResultKind.KeyReused, ran: true });
   });
 
-  it('gives a claim back only by its own winner, and then lets another attempt run', async () => {
-    // The service behind the winner refused the connection, so nothing was sent. Without giving
-    // the claim back the key would be blocked for good although the call never ran.
+  it('releases a claim only for its holder, and then lets another attempt run', async () => {
+    // The service behind the holder refused the connection, so nothing was sent. Without the
+    // release the key would stay blocked although the call never ran.
     const table = createFakeTable();
-    const winner = claimsOn(table, 'one');
+    const winner = createTestClaimStore(table, 'one');
     const won = await winner.claim(call('a'));
-    if (won.kind !== ClaimResultKind.Won) throw new Error('not won');
+    if (won.kind !== ClaimResultKind.Acquired) throw new Error('claim not acquired');
     expect(await winner.release(won.claim)).toBe(true);
-    const next = await claimsOn(table, 'two').claim(call('b', won.claim.version + 1));
-    expect(next.kind).toBe(ClaimResultKind.Won);
+    const next = await createTestClaimStore(table, 'two').claim(call('b', won.claim.version + 1));
+    expect(next.kind).toBe(ClaimResultKind.Acquired);
     expect(await winner.release(won.claim)).toBe(false);
     const row = table.state.read('claims/test/account/key');
-    expect(outcomeOf(row).outcome).toBe(RequestOutcome.Running);
+    expect(outcomeFromRow(row).outcome).toBe(RequestOutcome.Running);
   });
 
-  it('abandons a claim whose write may still arrive late', async () => {
-    // The write timed out, and the sidecar told "not run". The write then takes effect. Without
-    // clearing it, every later attempt with the key would wait for a sidecar that does nothing.
+  it('invalidates a claim whose write may take effect late', async () => {
+    // The write timed out, the sidecar reported "not run", and then the write takes effect.
+    // Uncleared, it would make every later attempt with the key wait for an idle sidecar.
     let writes = 0;
     const waiting: (() => void)[] = [];
     const table = createFakeTable({
@@ -199,7 +202,7 @@
         });
       },
     });
-    const claims = claimsOn(table, 'one');
+    const claims = createTestClaimStore(table, 'one');
     const result = await claims.claim(call('a'));
     expect(result.kind).toBe(ClaimResultKind.Unavailable);
     writes = 2;
@@ -207,6 +210,6 @@
     for (const apply of waiting) apply();
     await Promise.resolve();
     const row = table.state.read('claims/test/account/key');
-    expect(outcomeOf(row).outcome).toBe(RequestOutcome.NotRun);
+    expect(outcomeFromRow(row).outcome).toBe(RequestOutcome.NotRun);
   });
 });
--- a/packages/at-most-once/src/claims.ts
+++ b/packages/at-most-once/src/claim-store.ts
@@ -1,6 +1,7 @@
 /**
- * The life of a claim at the sidecar that would dispatch: win it, then store what came of
- * it, or give it back. Only the winner of the conditional insert ever dispatches, once.
+ * Writes the claim rows of at-most-once calls: a sidecar acquires a claim before it dispatches
+ * a call, then stores the outcome, or releases the claim if it did not dispatch. Only the
+ * sidecar whose conditional write acquired the claim dispatches the call, and only once.
  */
 import { readBack, writeConditionally, WriteOutcome } from '@lapisbridge/platform';
 import type { ObjectStore, Table, TableRow } from '@lapisbridge/platform';
@@ -11,38 +12,43 @@
 import type { ClaimPlan } from './plan-claim.js';
 import { proveNotRun } from './prove-not-run.js';
 
-export interface Call {
+/** One attempt to run an at-most-once call. */
+export interface CallAttempt {
   readonly account: string;
   readonly idempotencyKey: string;
-  /** Name of this attempt, unique among all attempts at all requests. */
+  /** Identifier of this attempt, unique across all requests. */
   readonly attempt: string;
+  /** Digest of the operation and the request body. */
   readonly digest: string;
-  /** Row version that the attempt goes on from, 0 for an absent row. */
+  /** Row version that this attempt expects; 0 if the row must not exist. */
   readonly claimVersion: number;
 }
 
-/** Proof of having won: the row as this sidecar wrote it. */
-export interface WonClaim {
-  readonly call: Call;
+/** A claim held by this sidecar: the row as it wrote it, with the row's version. */
+export interface AcquiredClaim {
+  readonly call: CallAttempt;
   readonly key: string;
   readonly version: number;
   readonly record: ClaimRecord;
 }
 
 export enum ClaimResultKind {
-  Won = 'won',
+  Acquired = 'won',
   KeyReused = 'keyReused',
-  /** The call was proved not run after this attempt began; a new attempt may go on from there. */
+  /** The call was proved not run after this attempt began; a new attempt may use `version`. */
   Superseded = 'superseded',
   Running = 'running',
   InDoubt = 'inDoubt',
   Replay = 'replay',
-  /** The table gave no answer. Nothing will be dispatched for this attempt. */
+  /**
+   * The table, or the object store that holds a large result, is not accessible. Nothing is
+   * dispatched for this attempt.
+   */
   Unavailable = 'unavailable',
 }
 
 export type ClaimResult =
-  | { readonly kind: ClaimResultKind.Won; readonly claim: WonClaim }
+  | { readonly kind: ClaimResultKind.Acquired; readonly claim: AcquiredClaim }
   | { readonly kind: ClaimResultKind.KeyReused; readonly ran: boolean }
   | { readonly kind: ClaimResultKind.Superseded; readonly version: number }
   | { readonly kind: ClaimResultKind.Running }
@@ -50,18 +56,26 @@
   | { readonly kind: ClaimResultKind.Replay; readonly result: StoredResult }
   | { readonly kind: ClaimResultKind.Unavailable };
 
-export interface Claims {
-  claim(call: Call): Promise<ClaimResult>;
-  /** Stores the outcome; false while the table cannot be reached, to be tried again. */
-  settle(claim: WonClaim, state: ClaimState.Done, result: StoredResult): Promise<boolean>;
-  settle(claim: WonClaim, state: ClaimState.InDoubt): Promise<boolean>;
-  /** Gives the claim back before dispatch; true once that is known to have taken effect. */
-  release(claim: WonClaim): Promise<boolean>;
-  /** Makes sure that a claim whose write got no answer never stands in the way for good. */
-  abandon(call: Call): Promise<boolean>;
+export interface ClaimStore {
+  /** Acquires the claim, or reports why it cannot. Table errors give `Unavailable`. */
+  claim(call: CallAttempt): Promise<ClaimResult>;
+  /** Stores the outcome. Resolves to false if the write was not confirmed; retry then. */
+  storeOutcome(
+    claim: AcquiredClaim,
+    state: ClaimState.Done,
+    result: StoredResult,
+  ): Promise<boolean>;
+  storeOutcome(claim: AcquiredClaim, state: ClaimState.InDoubt): Promise<boolean>;
+  /** Releases the claim before dispatch. Resolves to true once the release is confirmed. */
+  release(claim: AcquiredClaim): Promise<boolean>;
+  /**
+   * Invalidates a claim whose write got no response, so that it cannot block the key if the
+   * write takes effect later. Resolves to false if the outcome is still unknown.
+   */
+  abandon(call: CallAttempt): Promise<boolean>;
 }
 
-export interface ClaimsOptions {
+export interface ClaimStoreOptions {
   readonly table: Table;
   readonly objects: ObjectStore;
   readonly environment: string;
@@ -69,19 +83,19 @@
   readonly createNonce: () => string;
 }
 
-/** Races with other attempts are few; more rounds than this mean a table in trouble. */
-const MAXIMUM_ROUNDS = 5;
-/** A larger result goes to the object store, so that rows stay small. */
-const MAXIMUM_INLINE_CHARACTERS = 32 * 1024;
+/** Few attempts compete for one key, so more conflicts than this indicate a faulty table. */
+const MAXIMUM_CONDITIONAL_WRITES = 5;
+/** Results with a longer base64 body go to the object store, to keep rows small. */
+const MAXIMUM_INLINE_BODY_CHARACTERS = 32 * 1024;
 
-function isOwnRecord(nonce: string, state: ClaimState): (value: unknown) => boolean {
+function matchOwnRecord(nonce: string, state: ClaimState): (value: unknown) => boolean {
   return (value) => {
     const record = value as ClaimRecord;
     return record.nonce === nonce && record.state === state;
   };
 }
 
-export function createClaims(options: ClaimsOptions): Claims {
+export function createClaimStore(options: ClaimStoreOptions): ClaimStore {
   const { table, objects, environment, instanceId } = options;
 
   async function replay(
@@ -94,14 +108,14 @@
     return { kind: ClaimResultKind.Replay, result: stored as StoredResult };
   }
 
-  /** One conditional write in view of a row; a row as the answer means: look again. */
-  async function attemptClaim(
-    call: Call,
+  /** Makes at most one conditional write. On a conflict, returns the current row. */
+  async function tryClaim(
+    call: CallAttempt,
     key: string,
     row: TableRow | null,
-    firstTry: boolean,
+    isFirstWrite: boolean,
   ): Promise<ClaimResult | { readonly conflict: TableRow | null }> {
-    const plan: ClaimPlan = firstTry
+    const plan: ClaimPlan = isFirstWrite
       ? { kind: ClaimPlanKind.Insert, expectedVersion: call.claimVersion }
       : planClaim(row, call);
     switch (plan.kind) {
@@ -117,14 +131,14 @@
           key,
           value: record,
           expectedVersion: plan.expectedVersion,
-          isOwn: isOwnRecord(record.nonce, ClaimState.Claimed),
+          isOwn: matchOwnRecord(record.nonce, ClaimState.Claimed),
         });
         if (written.outcome === WriteOutcome.Unknown) {
           return { kind: ClaimResultKind.Unavailable };
         }
         if (written.outcome === WriteOutcome.Conflict) return { conflict: written.row };
         const version = written.row?.version ?? plan.expectedVersion + 1;
-        return { kind: ClaimResultKind.Won, claim: { call, key, version, record } };
+        return { kind: ClaimResultKind.Acquired, claim: { call, key, version, record } };
       }
       case ClaimPlanKind.KeyReused:
         return { kind: ClaimResultKind.KeyReused, ran: plan.ran };
@@ -143,18 +157,18 @@
     }
   }
 
-  async function rewrite(claim: WonClaim, record: ClaimRecord): Promise<boolean> {
+  async function updateClaim(claim: AcquiredClaim, record: ClaimRecord): Promise<boolean> {
     const written = await writeConditionally(table, {
       key: claim.key,
       value: record,
       expectedVersion: claim.version,
-      isOwn: isOwnRecord(record.nonce, record.state),
+      isOwn: matchOwnRecord(record.nonce, record.state),
     });
     return written.outcome === WriteOutcome.Applied;
   }
 
   async function storeResult(key: string, result: StoredResult): Promise<Partial<ClaimRecord>> {
-    if (result.body.length <= MAXIMUM_INLINE_CHARACTERS) return { result };
+    if (result.body.length <= MAXIMUM_INLINE_BODY_CHARACTERS) return { result };
     const resultObject = `results/${key}`;
     await objects.write(resultObject, result);
     return { resultObject };
@@ -164,18 +178,18 @@
     async claim(call) {
       const key = claimKey(environment, call.account, call.idempotencyKey);
       let row: TableRow | null = null;
-      for (let round = 0; round < MAXIMUM_ROUNDS; round += 1) {
-        const outcome = await attemptClaim(call, key, row, round === 0);
+      for (let writeCount = 0; writeCount < MAXIMUM_CONDITIONAL_WRITES; writeCount += 1) {
+        const outcome = await tryClaim(call, key, row, writeCount === 0);
         if ('kind' in outcome) return outcome;
         row = outcome.conflict;
       }
       return { kind: ClaimResultKind.Running };
     },
 
-    async settle(claim: WonClaim, state: ClaimState, result?: StoredResult) {
+    async storeOutcome(claim: AcquiredClaim, state: ClaimState, result?: StoredResult) {
       try {
         const stored = result === undefined ? {} : await storeResult(claim.key, result);
-        return await rewrite(claim, { ...claim.record, state, ...stored });
+        return await updateClaim(claim, { ...claim.record, state, ...stored });
       } catch {
         return false;
       }
@@ -184,12 +198,12 @@
     async release(claim) {
       const { record } = claim;
       const released = { ...record, state: ClaimState.NotRun };
-      if (await rewrite(claim, released)) return true;
+      if (await updateClaim(claim, released)) return true;
       const seen = await readBack(table, {
         key: claim.key,
         value: released,
         expectedVersion: claim.version,
-        isOwn: isOwnRecord(record.nonce, ClaimState.NotRun),
+        isOwn: matchOwnRecord(record.nonce, ClaimState.NotRun),
       });
       return seen.outcome === WriteOutcome.Applied;
     },
--- a/packages/at-most-once/src/prove-not-run.ts
+++ b/packages/at-most-once/src/prove-not-run.ts
@@ -1,8 +1,8 @@
 /**
- * Proves that a call did not run, or finds out what became of it. A reply "not run" is a
- * promise, and silence of a sidecar is no proof: frozen before its claim it could still run
- * the call later. So the proof is a write: it raises the row's version, and a claim that was
- * under way expects the older version and must fail.
+ * Proves that a call did not run, or reports its outcome. A "not run" reply must stay true, and
+ * an unresponsive sidecar proves nothing: if it was paused before its claim, it could still run
+ * the call later. The proof is therefore a write that increments the row's version: a pending
+ * claim expects the older version and fails.
  */
 import { writeConditionally, WriteOutcome } from '@lapisbridge/platform';
 import type { Table, TableRow } from '@lapisbridge/platform';
@@ -11,37 +11,39 @@
 import { claimKey, ClaimState } from './claim-record.js';
 import type { ClaimRecord, StoredResult } from './claim-record.js';
 
-export interface UnprovedCall {
+/** The attempt to prove not run. `digest` is empty if the caller only asks for the outcome. */
+export interface CallReference {
   readonly account: string;
   readonly idempotencyKey: string;
   readonly attempt: string;
   readonly digest: string;
 }
 
-export interface Proof {
+/** Outcome of an at-most-once call, as far as the claim row tells. */
+export interface OutcomeReport {
   readonly outcome: RequestOutcome;
   /** False when the table could not be read or written. */
   readonly known: boolean;
   readonly result?: StoredResult;
   readonly resultObject?: string;
-  /** True when the key stands for another body. */
+  /** True if the key was already used with a different operation or body. */
   readonly keyReused?: boolean;
-  /** Row version that a new attempt must go on from. */
+  /** Row version that a new attempt must expect. */
   readonly version?: number;
-  /** The sidecar that claimed the call, while it runs. */
+  /** Sidecar that holds the claim, while the call is running. */
   readonly instanceId?: string;
 }
 
-export interface ProofOptions {
+export interface ProveNotRunOptions {
   readonly createNonce: () => string;
-  /** Set by the attempt's own sidecar, which knows that it has not dispatched. */
+  /** Set by the sidecar of this attempt, which knows that it has not dispatched the call. */
   readonly releaseOwnClaim?: boolean;
 }
 
-const MAXIMUM_ROUNDS = 4;
+const MAXIMUM_CONDITIONAL_WRITES = 4;
 
-/** What a claim row says, without writing anything. */
-export function outcomeOf(row: TableRow | null): Proof {
+/** Derives the outcome of a call from its claim row, without a write. */
+export function outcomeFromRow(row: TableRow | null): OutcomeReport {
   if (row === null) return { outcome: RequestOutcome.NotRun, known: true };
   const record = row.value as ClaimRecord;
   switch (record.state) {
@@ -65,7 +67,11 @@
   }
 }
 
-function mayWriteProof(row: TableRow | null, call: UnprovedCall, options: ProofOptions): boolean {
+function canMarkNotRun(
+  row: TableRow | null,
+  call: CallReference,
+  options: ProveNotRunOptions,
+): boolean {
   if (row === null) return true;
   const record = row.value as ClaimRecord;
   if (record.state === ClaimState.NotRun) return true;
@@ -73,35 +79,39 @@
   return own && options.releaseOwnClaim === true;
 }
 
-/** A digest is empty where a caller only asks what became of a key. */
-function isOtherBody(record: ClaimRecord, call: UnprovedCall): boolean {
+/** A digest is empty if its writer only asked for the outcome of the key; it matches any other. */
+function hasDifferentDigest(record: ClaimRecord, call: CallReference): boolean {
   if (record.digest === '' || call.digest === '') return false;
   return record.digest !== call.digest;
 }
 
+/**
+ * Marks the call as not run if its row allows that, else reports the outcome in the row.
+ * `known` is false if the table did not respond or conflicts persisted.
+ */
 export async function proveNotRun(
   table: Table,
   environment: string,
-  call: UnprovedCall,
-  options: ProofOptions,
-): Promise<Proof> {
+  call: CallReference,
+  options: ProveNotRunOptions,
+): Promise<OutcomeReport> {
   const key = claimKey(environment, call.account, call.idempotencyKey);
-  const unknown: Proof = { outcome: RequestOutcome.Unknown, known: false };
+  const unknown: OutcomeReport = { outcome: RequestOutcome.Unknown, known: false };
   let row: TableRow | null;
   try {
     row = await table.read(key);
   } catch {
     return unknown;
   }
-  for (let round = 0; round < MAXIMUM_ROUNDS; round += 1) {
+  for (let writeCount = 0; writeCount < MAXIMUM_CONDITIONAL_WRITES; writeCount += 1) {
     const record = row?.value as ClaimRecord | undefined;
-    if (record !== undefined && isOtherBody(record, call)) {
-      return { ...outcomeOf(row), keyReused: true };
+    if (record !== undefined && hasDifferentDigest(record, call)) {
+      return { ...outcomeFromRow(row), keyReused: true };
     }
-    if (!mayWriteProof(row, call, options)) return outcomeOf(row);
+    if (!canMarkNotRun(row, call, options)) return outcomeFromRow(row);
     const nonce = options.createNonce();
     const expectedVersion = row?.version ?? 0;
-    const proof: ClaimRecord = {
+    const notRunRecord: ClaimRecord = {
       state: ClaimState.NotRun,
       nonce,
       digest: record?.digest ?? call.digest,
@@ -110,7 +120,7 @@
     };
     const written = await writeConditionally(table, {
       key,
-      value: proof,
+      value: notRunRecord,
       expectedVersion,
       isOwn: (value) => (value as ClaimRecord).nonce === nonce,
     });
--- a/packages/sidecar/src/sidecar.ts
+++ b/packages/sidecar/src/sidecar.ts
@@ -4,7 +4,7 @@
  */
 import { randomUUID } from 'node:crypto';
 
-import { batchingTable, createClaims, createSeenKeys } from '@lapisbridge/at-most-once';
+import { createBatchingTable, createClaimStore, createSeenKeys } from '@lapisbridge/at-most-once';
 import type { SidecarSettings } from '@lapisbridge/config';
 import { ResultCode } from '@lapisbridge/errors';
 import { createInstance } from '@lapisbridge/instance';
@@ -15,7 +15,7 @@
 import { Ran } from '@lapisbridge/types';
 import type { LoadReport } from '@lapisbridge/types';
 import { MessageKind } from '@lapisbridge/wire';
-import type { AttemptName, Channel, KeyQuery, Message, RankOrder, Resume } from '@lapisbridge/wire';
+import type { AttemptId, Channel, KeyQuery, Message, RankOrder, Resume } from '@lapisbridge/wire';
 
 import { createAvailabilityWatch } from './availability-watch.js';
 import { createBackgroundRetry } from './background-retry.js';
@@ -112,8 +112,8 @@
   const calls = createCallRunner({
     ...common,
     service,
-    claims: createClaims({
-      table: batchingTable(platform.table),
+    claims: createClaimStore({
+      table: createBatchingTable(platform.table),
       objects: platform.objects,
       environment: settings.environment,
       instanceId,
@@ -136,7 +136,7 @@
     };
   }
 
-  function unknownRequest(name: AttemptName, channel: Channel): void {
+  function unknownRequest(name: AttemptId, channel: Channel): void {
     channel.send({
       kind: MessageKind.Failed,
       requestId: name.requestId,
--- a/packages/wire/src/channel.ts
+++ b/packages/wire/src/channel.ts
@@ -1,5 +1,5 @@
 /**
- * A channel: one TCP connection between two of the system's processes, with frames and
+ * A channel is a TCP connection between two of the system's processes that carries frames and
  * heartbeats in both directions.
  */
 import type { Socket } from 'node:net';
@@ -8,25 +8,29 @@
 import type { Heartbeat, Message } from './messages.js';
 import { MessageKind } from './messages.js';
 
-export const HEARTBEAT_MILLISECONDS = 500;
-export const SILENCE_MILLISECONDS = 1500;
-/** Most channels of a large fleet carry no request at a given time; they beat this much less often. */
-export const IDLE_FACTOR = 5;
+export const HEARTBEAT_INTERVAL_MILLISECONDS = 500;
+export const SILENCE_TIMEOUT_MILLISECONDS = 1500;
+/**
+ * Factor on the heartbeat interval and the silence timeout of a channel without requests. Most
+ * channels of a large fleet have none at a given time, so this saves most of the heartbeats.
+ */
+export const IDLE_INTERVAL_FACTOR = 5;
 
 export enum CloseReason {
-  Ended = 'ended',
-  Silent = 'silent',
-  BadFrame = 'badFrame',
-  Local = 'local',
+  Disconnected = 'ended',
+  PeerSilent = 'silent',
+  InvalidFrame = 'badFrame',
+  ClosedLocally = 'local',
 }
 
 export interface Channel {
   readonly closed: boolean;
   send(message: Message): void;
-  /** Beats now instead of at the next turn, because its content has changed. */
-  beat(): void;
-  /** Counts a request in: while any is in progress, silence is noticed fast. */
+  /** Sends a heartbeat at once instead of at the next interval, because its content has changed. */
+  sendHeartbeat(): void;
+  /** Counts a request as in progress; while there are any, silence is detected faster. */
   acquire(): void;
+  /** Ends a request that `acquire` counted. */
   release(): void;
   close(): void;
 }
@@ -39,35 +43,35 @@
 }
 
 export interface ChannelOptions {
-  readonly heartbeatMilliseconds?: number;
-  readonly silenceMilliseconds?: number;
+  readonly heartbeatIntervalMilliseconds?: number;
+  readonly silenceTimeoutMilliseconds?: number;
 }
 
-interface SilenceWatch {
-  heard(): void;
+interface SilenceMonitor {
+  recordActivity(): void;
   stop(): void;
 }
 
-/** `allowed` tells the silence that is allowed now; it is asked at each turn. */
-function watchSilence(
-  turnMilliseconds: number,
-  allowed: () => number,
+/** Calls `onSilent` when the limit is exceeded. The limit is read anew at each check. */
+function monitorSilence(
+  checkIntervalMilliseconds: number,
+  silenceLimitMilliseconds: () => number,
   onSilent: () => void,
-): SilenceWatch {
-  let lastHeard = performance.now();
-  let lastTurn = lastHeard;
+): SilenceMonitor {
+  let lastActivity = performance.now();
+  let lastCheck = lastActivity;
   const timer = setInterval(() => {
     const now = performance.now();
-    // When this process itself was paused, the peer's frames wait unread in the socket. Judging
-    // silence from the pause would close every connection at once; so a late turn only re-arms.
-    const paused = now - lastTurn > turnMilliseconds * 2;
-    lastTurn = now;
-    if (paused) lastHeard = now;
-    else if (now - lastHeard > allowed()) onSilent();
-  }, turnMilliseconds);
+    // If this process itself was paused, the peer's frames are still unread in the socket. Counting
+    // the pause as silence would close every connection, so a late check only resets the time.
+    const paused = now - lastCheck > checkIntervalMilliseconds * 2;
+    lastCheck = now;
+    if (paused) lastActivity = now;
+    else if (now - lastActivity > silenceLimitMilliseconds()) onSilent();
+  }, checkIntervalMilliseconds);
   return {
-    heard() {
-      lastHeard = performance.now();
+    recordActivity() {
+      lastActivity = performance.now();
     },
     stop() {
       clearInterval(timer);
@@ -76,9 +80,9 @@
 }
 
 /**
- * Takes a connected socket. A path between two ends can lose track of a connection, which
- * then stays silent for good although new ones work; TCP alone notices after minutes.
- * Heartbeats notice within the silence time and close it, and the owner dials a new one.
+ * Opens a channel on a connected socket. A network device can drop the state of a connection,
+ * which then stays silent although new connections work; TCP alone detects this after minutes.
+ * Missing heartbeats close it within the silence timeout, and the owner opens a new connection.
  */
 export function openChannel(
   socket: Socket,
@@ -88,12 +92,14 @@
   const reader = createFrameReader();
   let closed = false;
   let corked = false;
-  const state = { reason: CloseReason.Ended };
-  const heartbeatMilliseconds = options.heartbeatMilliseconds ?? HEARTBEAT_MILLISECONDS;
-  const silenceMilliseconds = options.silenceMilliseconds ?? SILENCE_MILLISECONDS;
+  const state = { reason: CloseReason.Disconnected };
+  const heartbeatIntervalMilliseconds =
+    options.heartbeatIntervalMilliseconds ?? HEARTBEAT_INTERVAL_MILLISECONDS;
+  const silenceTimeoutMilliseconds =
+    options.silenceTimeoutMilliseconds ?? SILENCE_TIMEOUT_MILLISECONDS;
   let requests = 0;
-  let turnsSinceBeat = 0;
-  let sentSinceTurn = false;
+  let intervalsSinceHeartbeat = 0;
+  let sentInInterval = false;
 
   const channel: Channel = {
     get closed() {
@@ -101,7 +107,7 @@
     },
     send(message) {
       if (closed) return;
-      sentSinceTurn = true;
+      sentInInterval = true;
       if (!corked) {
         corked = true;
         socket.cork();
@@ -112,58 +118,60 @@
       }
       socket.write(encodeFrame(message));
     },
-    beat() {
-      turnsSinceBeat = 0;
+    sendHeartbeat() {
+      intervalsSinceHeartbeat = 0;
       channel.send({ kind: MessageKind.Heartbeat, ...handlers.heartbeat() });
     },
     acquire() {
-      // From an idle peer nothing may have come for a while: its fast beats begin only now.
-      if (requests === 0) silence.heard();
+      // An idle peer may not have sent anything for a while; its faster heartbeats begin only now.
+      if (requests === 0) silenceMonitor.recordActivity();
       requests += 1;
     },
     release() {
       requests = Math.max(0, requests - 1);
     },
     close() {
-      end(CloseReason.Local);
+      end(CloseReason.ClosedLocally);
     },
   };
 
-  const allowedSilence = (): number =>
-    requests > 0 ? silenceMilliseconds : silenceMilliseconds * IDLE_FACTOR;
-  const silence = watchSilence(silenceMilliseconds / 3, allowedSilence, () =>
-    end(CloseReason.Silent),
+  const silenceLimitMilliseconds = (): number =>
+    requests > 0 ? silenceTimeoutMilliseconds : silenceTimeoutMilliseconds * IDLE_INTERVAL_FACTOR;
+  const silenceMonitor = monitorSilence(
+    silenceTimeoutMilliseconds / 3,
+    silenceLimitMilliseconds,
+    () => end(CloseReason.PeerSilent),
   );
-  const beat = setInterval(() => {
-    turnsSinceBeat += 1;
-    // Whatever else was sent proves the connection as well as a beat does.
-    const quiet = requests > 0 && !sentSinceTurn;
-    if (quiet || turnsSinceBeat >= IDLE_FACTOR) channel.beat();
-    sentSinceTurn = false;
-  }, heartbeatMilliseconds);
+  const heartbeatTimer = setInterval(() => {
+    intervalsSinceHeartbeat += 1;
+    // Any other message shows that the connection works as well as a heartbeat does.
+    const quiet = requests > 0 && !sentInInterval;
+    if (quiet || intervalsSinceHeartbeat >= IDLE_INTERVAL_FACTOR) channel.sendHeartbeat();
+    sentInInterval = false;
+  }, heartbeatIntervalMilliseconds);
 
-  function finish(): void {
+  function notifyClosed(): void {
     if (closed) return;
     closed = true;
-    clearInterval(beat);
-    silence.stop();
+    clearInterval(heartbeatTimer);
+    silenceMonitor.stop();
     handlers.onClose(state.reason, channel);
   }
 
   function end(reason: CloseReason): void {
     state.reason = reason;
-    if (reason === CloseReason.Local) {
+    if (reason === CloseReason.ClosedLocally) {
       socket.end();
-      setTimeout(() => socket.destroy(), HEARTBEAT_MILLISECONDS).unref();
+      setTimeout(() => socket.destroy(), HEARTBEAT_INTERVAL_MILLISECONDS).unref();
     } else {
       socket.destroy();
     }
-    finish();
+    notifyClosed();
   }
 
   socket.setNoDelay(true);
   socket.on('data', (bytes: Buffer) => {
-    silence.heard();
+    silenceMonitor.recordActivity();
     try {
       for (const message of reader.push(bytes)) {
         if (closed) return;
@@ -171,10 +179,10 @@
       }
     } catch (thrown) {
       if (!(thrown instanceof RangeError)) throw thrown;
-      end(CloseReason.BadFrame);
+      end(CloseReason.InvalidFrame);
     }
   });
-  socket.on('error', () => finish());
-  socket.on('close', () => finish());
+  socket.on('error', () => notifyClosed());
+  socket.on('close', () => notifyClosed());
   return channel;
 }
