--- a/packages/direct-entry/src/played-knowledge.ts
+++ b/packages/direct-entry/src/played-knowledge.ts
@@ -6,8 +6,8 @@
 
 import { createCatalog, decodeCopy, FeedKind, TransactionKind } from '@lapisbridge/catalog';
 import type { Catalog, Feed, Store, StoreAnswer, StoreRow } from '@lapisbridge/catalog';
-import { playFleet } from '@lapisbridge/fleet';
-import type { InstanceName, PlayedEntry, PlayedFleet, ReadingRole } from '@lapisbridge/fleet';
+import { simulateFleet } from '@lapisbridge/fleet';
+import type { InstanceName, SimulatedEntry, SimulatedFleet, ReadingRole } from '@lapisbridge/fleet';
 import { numberOf, parseObject, textOf } from '@lapisbridge/json-call';
 import { createRandom } from '@lapisbridge/kernel';
 import { createSilentLogger } from '@lapisbridge/logger';
@@ -29,10 +29,10 @@
 }
 
 export interface PlayedKnowledge {
-  readonly fleet: PlayedFleet;
+  readonly fleet: SimulatedFleet;
   now(): number;
   run(milliseconds: number): Promise<void>;
-  entriesAs(role: ReadingRole): readonly PlayedEntry[];
+  entriesAs(role: ReadingRole): readonly SimulatedEntry[];
   /** Lets the store answer no call of an entry but with a refusal. */
   turnAway(instanceId: string): void;
   pause(instanceId: string): void;
@@ -100,7 +100,7 @@
   let changedAt = 0;
   let onChange: (() => void)[] = [];
 
-  const fleet = playFleet({
+  const fleet = simulateFleet({
     seed: options.seed,
     zones: options.zones,
     entries: options.entries,
@@ -116,7 +116,7 @@
     const zones = [from.availabilityZone, to.availabilityZone];
     return zones[0] !== zones[1] && cutZone !== undefined && zones.includes(cutZone);
   }
-  fleet.cut(isCut);
+  fleet.partition(isCut);
 
   function rowsOf(table: string): StoreRow[] {
     if (table !== OPERATORS) return [];
@@ -239,10 +239,10 @@
         configuration: options.configurationBoundMilliseconds,
         draining: options.drainingBoundMilliseconds,
       }),
-      livingHosts: () => part.livingHosts(),
+      livingHosts: () => part.liveHosts(),
       isDelegating: () => part.isDelegating(),
       role: () => part.readingRole(),
-      onNews: () => part.onNews(),
+      onNews: () => part.expediteDigests(),
     });
     knowledges.set(name.instanceId, knowledge);
   }
--- a/packages/direct-entry/src/start-entry.ts
+++ b/packages/direct-entry/src/start-entry.ts
@@ -85,7 +85,7 @@
   const rateLimits = createServerRateLimits({
     logger,
     entries: sendingEntries,
-    onChange: () => fleet.onNews(),
+    onChange: () => fleet.expediteDigests(),
     now: monotonicClock,
   });
   const backoffs = createServerBackoffs(monotonicClock, logger);
@@ -120,10 +120,10 @@
       configuration: life.settings().configurationBoundMilliseconds,
       draining: life.settings().drainingBoundMilliseconds,
     }),
-    livingHosts: () => fleet.livingHosts(),
+    livingHosts: () => fleet.liveHosts(),
     isDelegating: () => fleet.isDelegating(),
     role: () => fleet.readingRole(),
-    onNews: () => fleet.onNews(),
+    onNews: () => fleet.expediteDigests(),
   });
 
   const entries = (): number => sendingEntries().count;
--- a/packages/direct-entry/src/start-fleet.ts
+++ b/packages/direct-entry/src/start-fleet.ts
@@ -126,7 +126,7 @@
     onRateLimits: (statements) => rateLimits.onPeerStatements(statements),
     onLoads: takeLoads,
     send: (to, message) => link.send(to, message),
-    wake,
+    requestTick: wake,
     now: monotonicClock,
     random,
   });
--- a/packages/fleet/src/datagram-link.ts
+++ b/packages/fleet/src/datagram-link.ts
@@ -29,20 +29,20 @@
   now(): number;
 }
 
-interface Sender {
+interface SenderState {
   sequence: number;
-  heardAt: number;
+  receivedAt: number;
 }
 
 /** A sender that was silent for this long may be a new process, which numbers anew. */
-const RESTART_MILLISECONDS = 700;
+const SEQUENCE_RESET_MILLISECONDS = 700;
 /** Senders to remember: more than any instance talks to. */
-const MOST_SENDERS = 4096;
+const MAXIMUM_SENDERS = 4096;
 
 export function createDatagramLink(options: DatagramLinkOptions): DatagramLink {
   const { self, port, logger, now } = options;
   const socket = createSocket('udp4');
-  const senders = new Map<string, Sender>();
+  const senders = new Map<string, SenderState>();
   const sent = new Map<string, SentCount>();
   let sequence = Date.now();
 
@@ -51,11 +51,11 @@
     const known = senders.get(from.instanceId);
     const isLate =
       known !== undefined &&
-      now() - known.heardAt < RESTART_MILLISECONDS &&
+      now() - known.receivedAt < SEQUENCE_RESET_MILLISECONDS &&
       received <= known.sequence;
     if (isLate) return false;
-    if (senders.size >= MOST_SENDERS) senders.clear();
-    senders.set(from.instanceId, { sequence: received, heardAt: now() });
+    if (senders.size >= MAXIMUM_SENDERS) senders.clear();
+    senders.set(from.instanceId, { sequence: received, receivedAt: now() });
     return true;
   }
 
--- a/packages/fleet/src/entry-fleet.ts
+++ b/packages/fleet/src/entry-fleet.ts
@@ -7,10 +7,10 @@
 import type { JsonObject } from '@lapisbridge/json-call';
 import type { Logger } from '@lapisbridge/logger';
 
-import { createAuthoredRosters, VOUCH_MILLISECONDS } from './authored-rosters.js';
+import { createPublishedRosters, EVIDENCE_LIFETIME_MILLISECONDS } from './published-rosters.js';
 import { createGrowthSum } from './growth-sum.js';
 import { createLeaderList } from './leader-list.js';
-import { createLoadBoard } from './load-board.js';
+import { createLoadTable } from './load-table.js';
 import { createMemberList } from './member-list.js';
 import { InstanceRole, MessageKind, RosterScope } from './message.js';
 import type { FleetMessage, InstanceName, RelayedRateLimit } from './message.js';
@@ -19,7 +19,7 @@
 import type { ReadingRole } from './plan-delegates.js';
 import { planDuties } from './plan-duties.js';
 import type { Duties } from './plan-duties.js';
-import { createHeardRosters } from './roster.js';
+import { createReceivedRosters } from './roster.js';
 import type { Roster } from './roster.js';
 
 export interface SidecarAddress {
@@ -47,7 +47,7 @@
   onLoads(loads: readonly RankLoad[]): void;
   send(host: string, message: FleetMessage): void;
   /** Asks for a call of `tick` before the next regular one. */
-  wake(): void;
+  requestTick(): void;
   now(): number;
   /** Uniform in [0, 1). */
   random(): number;
@@ -58,7 +58,7 @@
   /** Sends what is due. Returns the milliseconds until it is to be called again. */
   tick(): number;
   /** Sends digests at once when others rely on this entry: it has news. */
-  onNews(): void;
+  expediteDigests(): void;
   /** Whether delegates relay knowledge, as in a large fleet. */
   isDelegating(): boolean;
   /** Whether this entry is a delegate; all are in a small fleet. */
@@ -68,24 +68,24 @@
   /** Instance ids of all known entries, this one included; a new list whenever it changes. */
   entryIds(): readonly string[];
   /** Hosts of entries that were seen lately. */
-  livingHosts(): readonly string[];
+  liveHosts(): readonly string[];
 }
 
 /** Between two ticks of an entry that others rely on. */
-const TICK_MILLISECONDS = 100;
+const TICK_INTERVAL_MILLISECONDS = 100;
 /** Between two digests of a zone's primary, and of any other entry. */
-const PRIMARY_DIGEST_MILLISECONDS = 250;
-const DIGEST_MILLISECONDS = 500;
-const DIGEST_MILLISECONDS_PER_RANK = 3;
+const PRIMARY_DIGEST_INTERVAL_MILLISECONDS = 250;
+const DIGEST_INTERVAL_MILLISECONDS = 500;
+const DIGEST_INTERVAL_MILLISECONDS_PER_RANK = 3;
 /** Bursts of news are told together. */
-const SHORTEST_DIGEST_MILLISECONDS = 30;
-const ANNOUNCEMENT_MILLISECONDS = 1000;
-const SUMMARY_MILLISECONDS = 300;
+const MINIMUM_DIGEST_INTERVAL_MILLISECONDS = 30;
+const ANNOUNCEMENT_INTERVAL_MILLISECONDS = 1000;
+const SUMMARY_INTERVAL_MILLISECONDS = 300;
 /** Between two tries to reach suspected entries, and one more entry that may know others. */
-const PROBE_MILLISECONDS = 1000;
+const PROBE_INTERVAL_MILLISECONDS = 1000;
 /** The same just after the start, when names are found fastest by asking the seeds again. */
-const START_PROBE_MILLISECONDS = 150;
-const START_MILLISECONDS = 1500;
+const STARTUP_PROBE_INTERVAL_MILLISECONDS = 150;
+const STARTUP_MILLISECONDS = 1500;
 /** A sidecar whose zone's delegates have not found it for this long is answered by any entry. */
 const ADOPT_AFTER_MILLISECONDS = 1200;
 /**
@@ -94,41 +94,41 @@
  */
 const ANNOUNCE_AFTER_MILLISECONDS = 500;
 /** Between two requests for the roster of the same entry. */
-const ROSTER_REQUEST_MILLISECONDS = 200;
+const ROSTER_REQUEST_INTERVAL_MILLISECONDS = 200;
 /** Entries that asked for digests within this time get them. */
-const CORRESPONDENT_MILLISECONDS = 2000;
+const DEPENDENT_LIFETIME_MILLISECONDS = 2000;
 
 export function createEntryFleet(options: EntryFleetOptions): EntryFleet {
   const { self, logger, now, send } = options;
   const members = createMemberList(self.instanceId, now);
-  const rosters = createHeardRosters(members);
-  const authored = createAuthoredRosters(self, members);
-  const board = createLoadBoard(now);
-  const growth = createGrowthSum(options.random);
+  const receivedRosters = createReceivedRosters(members);
+  const published = createPublishedRosters(self, members);
+  const loadTable = createLoadTable(now);
+  const growthSum = createGrowthSum(options.random);
   const leaders = createLeaderList();
   const digestSentAt = new Map<string, number>();
   /** When entries that rely on this one were heard. */
-  const reliedOnAt = new Map<string, number>();
-  const rosterAskedAt = new Map<string, number>();
+  const dependentHeardAt = new Map<string, number>();
+  const rosterRequestedAt = new Map<string, number>();
   const summarySentAt = new Map<string, number>();
   const startedAt = now();
   let announcedAt = -Infinity;
   let probedAt = -Infinity;
   /** When something happened that others must hear at once. */
-  let newsAt = -Infinity;
+  let expeditedAt = -Infinity;
   let wasPrimary = false;
-  let ids: readonly string[] = [self.instanceId];
-  let idsOf: readonly InstanceName[] | undefined;
+  let cachedEntryIds: readonly string[] = [self.instanceId];
+  let cachedMembers: readonly InstanceName[] | undefined;
   /** Planned at each tick: planning ranks every known entry. */
   let planned: Duties | undefined;
 
   function entryIds(): readonly string[] {
     const known = members.known();
-    if (known !== idsOf) {
-      idsOf = known;
-      ids = [self.instanceId, ...known.map(({ instanceId }) => instanceId)];
+    if (known !== cachedMembers) {
+      cachedMembers = known;
+      cachedEntryIds = [self.instanceId, ...known.map(({ instanceId }) => instanceId)];
     }
-    return ids;
+    return cachedEntryIds;
   }
 
   function planNow(): Duties {
@@ -146,8 +146,8 @@
   }
 
   function rosterFor(scope: RosterScope): Roster {
-    if (scope === RosterScope.Zone) return authored.ofZone();
-    return duties().isDelegate ? authored.ofFleet() : authored.secondHand();
+    if (scope === RosterScope.Zone) return published.zoneRoster();
+    return duties().isDelegate ? published.fleetRoster() : published.unconfirmedRoster();
   }
 
   function sendRoster(host: string, scope: RosterScope): void {
@@ -159,15 +159,16 @@
     const { isDelegating, isPrimary } = duties();
     if (!isDelegating) return [];
     const isOwnZone = to.availabilityZone === self.availabilityZone;
-    if (isPrimary) return isOwnZone ? board.all() : board.local();
+    if (isPrimary) return isOwnZone ? loadTable.all() : loadTable.local();
     // Sidecars that found no delegate in their own zone report here.
-    return board.direct((sidecar) => sidecar.availabilityZone !== self.availabilityZone);
+    return loadTable.direct((sidecar) => sidecar.availabilityZone !== self.availabilityZone);
   }
 
   function sendDigest(to: InstanceName, expectsAnswer: boolean): void {
     const { isDelegating, isDelegate } = duties();
     const isOwnZone = to.availabilityZone === self.availabilityZone;
-    const { scope, hash } = isOwnZone || !isDelegating ? authored.ofFleet() : authored.ofZone();
+    const { scope, hash } =
+      isOwnZone || !isDelegating ? published.fleetRoster() : published.zoneRoster();
     digestSentAt.set(to.instanceId, now());
     send(to.host, {
       kind: MessageKind.Digest,
@@ -181,53 +182,57 @@
   }
 
   /** Entries whose digests this one relies on, and which therefore must answer. */
-  function plannedContacts(): Set<string> {
+  function requiredPeers(): Set<string> {
     const { isDelegating, isDelegate, delegates } = duties();
-    const contacts = new Set<string>();
+    const peers = new Set<string>();
     for (const [zone, instanceIds] of delegates) {
       const isOwnZone = zone === self.availabilityZone;
       if (!isOwnZone && isDelegating && !isDelegate) continue;
-      for (const instanceId of instanceIds) contacts.add(instanceId);
+      for (const instanceId of instanceIds) peers.add(instanceId);
     }
-    contacts.delete(self.instanceId);
-    return contacts;
+    peers.delete(self.instanceId);
+    return peers;
   }
 
-  function correspondents(): string[] {
-    const from = now() - CORRESPONDENT_MILLISECONDS;
+  function activeDependents(): string[] {
+    const from = now() - DEPENDENT_LIFETIME_MILLISECONDS;
     const recent: string[] = [];
-    for (const [instanceId, at] of reliedOnAt) if (at >= from) recent.push(instanceId);
+    for (const [instanceId, at] of dependentHeardAt) if (at >= from) recent.push(instanceId);
     return recent;
   }
 
   /** Digests to the own zone tell all loads: with more of them, they are further apart. */
-  function digestPause(to: InstanceName): number {
+  function digestIntervalMilliseconds(to: InstanceName): number {
     const { isDelegating, isPrimary } = duties();
-    if (!isPrimary || !isDelegating) return DIGEST_MILLISECONDS;
-    if (to.availabilityZone !== self.availabilityZone) return PRIMARY_DIGEST_MILLISECONDS;
-    const pause = board.size() * DIGEST_MILLISECONDS_PER_RANK;
-    return Math.max(PRIMARY_DIGEST_MILLISECONDS, Math.min(DIGEST_MILLISECONDS, pause));
+    if (!isPrimary || !isDelegating) return DIGEST_INTERVAL_MILLISECONDS;
+    if (to.availabilityZone !== self.availabilityZone) return PRIMARY_DIGEST_INTERVAL_MILLISECONDS;
+    const intervalMilliseconds = loadTable.size() * DIGEST_INTERVAL_MILLISECONDS_PER_RANK;
+    return Math.max(
+      PRIMARY_DIGEST_INTERVAL_MILLISECONDS,
+      Math.min(DIGEST_INTERVAL_MILLISECONDS, intervalMilliseconds),
+    );
   }
 
   function isDigestDue(to: InstanceName): boolean {
     const sentAt = digestSentAt.get(to.instanceId) ?? -Infinity;
-    const since = now() - sentAt;
-    if (newsAt >= sentAt && since >= SHORTEST_DIGEST_MILLISECONDS) return true;
-    const pause = digestPause(to);
+    const elapsedMilliseconds = now() - sentAt;
+    if (expeditedAt >= sentAt && elapsedMilliseconds >= MINIMUM_DIGEST_INTERVAL_MILLISECONDS)
+      return true;
+    const intervalMilliseconds = digestIntervalMilliseconds(to);
     // Timers fire late, never early: without slack each pause would grow by a tick.
-    return since >= pause - TICK_MILLISECONDS / 2;
+    return elapsedMilliseconds >= intervalMilliseconds - TICK_INTERVAL_MILLISECONDS / 2;
   }
 
   function sendDigests(): void {
-    const contacts = plannedContacts();
-    for (const instanceId of new Set([...contacts, ...correspondents()])) {
+    const peers = requiredPeers();
+    for (const instanceId of new Set([...peers, ...activeDependents()])) {
       const name = members.find(instanceId);
       if (name === undefined || !isDigestDue(name)) continue;
-      const isContact = contacts.has(instanceId);
-      if (isContact) members.onContacted(instanceId);
-      sendDigest(name, isContact);
+      const isRequiredPeer = peers.has(instanceId);
+      if (isRequiredPeer) members.onContacted(instanceId);
+      sendDigest(name, isRequiredPeer);
       // An entry that relies on one that is no delegate lacks the names of those that are.
-      if (!isContact && !duties().isDelegate) sendRoster(name.host, RosterScope.Fleet);
+      if (!isRequiredPeer && !duties().isDelegate) sendRoster(name.host, RosterScope.Fleet);
     }
   }
 
@@ -254,8 +259,8 @@
   }
 
   /** An entry to ask for names that this one lacks: a seed at first, later any. */
-  function pickInformant(): string | undefined {
-    const isStarting = now() - startedAt < START_MILLISECONDS;
+  function pickDiscoveryHost(): string | undefined {
+    const isStarting = now() - startedAt < STARTUP_MILLISECONDS;
     const hosts = isStarting || members.known().length === 0 ? [...options.seedHosts()] : [];
     if (hosts.length === 0) for (const { host } of members.known()) hosts.push(host);
     return hosts[Math.floor(options.random() * hosts.length)];
@@ -267,21 +272,26 @@
    */
   function probe(): void {
     probedAt = now();
-    const { scope, hash } = authored.secondHand();
-    const informant = duties().isDelegate ? pickInformant() : undefined;
-    if (informant !== undefined && informant !== self.host) {
-      send(informant, { kind: MessageKind.Hello, scope, knownHash: hash, waitedMilliseconds: 0 });
+    const { scope, hash } = published.unconfirmedRoster();
+    const discoveryHost = duties().isDelegate ? pickDiscoveryHost() : undefined;
+    if (discoveryHost !== undefined && discoveryHost !== self.host) {
+      send(discoveryHost, {
+        kind: MessageKind.Hello,
+        scope,
+        knownHash: hash,
+        waitedMilliseconds: 0,
+      });
     }
     for (const { instanceId, host } of members.known()) {
       if (!members.isSuspected(instanceId)) continue;
       send(host, { kind: MessageKind.Hello, scope, knownHash: undefined, waitedMilliseconds: 0 });
     }
-    board.forgetOld();
-    for (const { instanceId } of members.forgetSilent()) {
-      rosters.forget(instanceId);
+    loadTable.removeExpired();
+    for (const { instanceId } of members.removeSilent()) {
+      receivedRosters.remove(instanceId);
       digestSentAt.delete(instanceId);
-      reliedOnAt.delete(instanceId);
-      rosterAskedAt.delete(instanceId);
+      dependentHeardAt.delete(instanceId);
+      rosterRequestedAt.delete(instanceId);
       logger.info('entry forgotten', { entry: instanceId });
     }
   }
@@ -289,53 +299,54 @@
   function summarize(): void {
     if (!duties().isPrimary) return;
     for (const { group, host } of leaders.all()) {
-      const since = now() - (summarySentAt.get(group) ?? -Infinity);
-      if (since < SUMMARY_MILLISECONDS - TICK_MILLISECONDS / 2) continue;
-      const ranks = board.ranksOf(group);
+      const elapsedMilliseconds = now() - (summarySentAt.get(group) ?? -Infinity);
+      if (elapsedMilliseconds < SUMMARY_INTERVAL_MILLISECONDS - TICK_INTERVAL_MILLISECONDS / 2)
+        continue;
+      const ranks = loadTable.ranksOf(group);
       if (ranks.length === 0) continue;
       summarySentAt.set(group, now());
-      const grown = growth.take(group);
-      send(host, { kind: MessageKind.ZoneSummary, group, ranks, growth: grown });
+      const growth = growthSum.take(group);
+      send(host, { kind: MessageKind.ZoneSummary, group, ranks, growth });
     }
   }
 
   /** Sends digests at once where others rely on this entry. */
-  function tellNews(): void {
+  function expediteDigests(): void {
     if (!duties().isDelegate) return;
-    newsAt = now();
-    options.wake();
+    expeditedAt = now();
+    options.requestTick();
   }
 
-  function takeLeader(group: string, host: string, fence: number): void {
+  function handleLeader(group: string, host: string, fence: number): void {
     if (!leaders.onLeader({ group, host, fence })) return;
     // A new leader can do nothing until it knows where the ranks are.
     summarySentAt.delete(group);
-    tellNews();
+    expediteDigests();
   }
 
-  function takeReport(
+  function handleReport(
     from: InstanceName,
-    { state, fence, growth: grown }: Extract<FleetMessage, { kind: MessageKind.RankState }>,
+    { state, fence, growth }: Extract<FleetMessage, { kind: MessageKind.RankState }>,
   ): void {
-    const hasTurned = board.onReport(from, state);
-    if (fence !== undefined) takeLeader(state.group, from.host, fence);
-    if (grown !== undefined && state.isOpen) growth.add(state.group, grown);
+    const isGroupStateChanged = loadTable.onReport(from, state);
+    if (fence !== undefined) handleLeader(state.group, from.host, fence);
+    if (growth !== undefined && state.isOpen) growthSum.add(state.group, growth);
     const { group, rank, epoch, isOpen, running, waiting } = state;
     options.onLoads([{ group, rank, epoch, isOpen, running, waiting, ageMilliseconds: 0 }]);
     // In a small fleet every entry hears the sidecars itself.
-    if (hasTurned && duties().isDelegating) tellNews();
+    if (isGroupStateChanged && duties().isDelegating) expediteDigests();
   }
 
-  function takeDigest(
+  function handleDigest(
     from: InstanceName,
     digest: Extract<FleetMessage, { kind: MessageKind.Digest }>,
   ): void {
-    if (digest.expectsAnswer) reliedOnAt.set(from.instanceId, now());
+    if (digest.expectsAnswer) dependentHeardAt.set(from.instanceId, now());
     const { roster } = digest;
-    if (roster !== undefined && !rosters.onHash(from, roster.scope, roster.hash)) {
-      const askedAt = rosterAskedAt.get(from.instanceId) ?? -Infinity;
-      if (now() - askedAt >= ROSTER_REQUEST_MILLISECONDS) {
-        rosterAskedAt.set(from.instanceId, now());
+    if (roster !== undefined && !receivedRosters.onHash(from, roster.scope, roster.hash)) {
+      const requestedAt = rosterRequestedAt.get(from.instanceId) ?? -Infinity;
+      if (now() - requestedAt >= ROSTER_REQUEST_INTERVAL_MILLISECONDS) {
+        rosterRequestedAt.set(from.instanceId, now());
         send(from.host, {
           kind: MessageKind.Hello,
           scope: roster.scope,
@@ -346,23 +357,26 @@
     }
     // An entry that is no delegate tells only of sidecars that found none in their own zone.
     const isAdopted = roster === undefined && from.availabilityZone === self.availabilityZone;
-    const { newer, hasTurned } = board.onRelayed(unpackLoads(digest.loads), isAdopted);
+    const { newer, isGroupStateChanged } = loadTable.onRelayed(
+      unpackLoads(digest.loads),
+      isAdopted,
+    );
     if (newer.length > 0) options.onLoads(newer);
-    if (hasTurned) tellNews();
-    for (const { group, host, fence } of digest.leaders) takeLeader(group, host, fence);
+    if (isGroupStateChanged) expediteDigests();
+    for (const { group, host, fence } of digest.leaders) handleLeader(group, host, fence);
     options.onFreshness(from, digest.freshness);
     options.onRateLimits(digest.rateLimits);
   }
 
-  function takeHello(
+  function handleHello(
     from: InstanceName,
     { scope, knownHash, waitedMilliseconds }: Extract<FleetMessage, { kind: MessageKind.Hello }>,
   ): void {
     if (from.role === InstanceRole.Sidecar) {
-      const isLeftToDelegates =
+      const isServedByDelegates =
         duties().isDelegating && waitedMilliseconds < ADOPT_AFTER_MILLISECONDS;
-      if (!isLeftToDelegates) announceTo(from);
-    } else if (knownHash !== authored.secondHand().hash) {
+      if (!isServedByDelegates) announceTo(from);
+    } else if (knownHash !== published.unconfirmedRoster().hash) {
       sendRoster(from.host, scope);
     }
   }
@@ -377,16 +391,16 @@
       }
       switch (message.kind) {
         case MessageKind.Hello:
-          takeHello(from, message);
+          handleHello(from, message);
           return;
         case MessageKind.Roster:
-          rosters.onRoster(from, message);
+          receivedRosters.onRoster(from, message);
           return;
         case MessageKind.Digest:
-          takeDigest(from, message);
+          handleDigest(from, message);
           return;
         case MessageKind.RankState:
-          takeReport(from, message);
+          handleReport(from, message);
           return;
         case MessageKind.Announcement:
         case MessageKind.ZoneSummary:
@@ -406,22 +420,25 @@
       planned = planNow();
       const { isPrimary, isDelegate } = planned;
       sendDigests();
-      const age = now() - startedAt;
-      const probePause = age < START_MILLISECONDS ? START_PROBE_MILLISECONDS : PROBE_MILLISECONDS;
-      if (now() - probedAt >= probePause) probe();
-      if (!planned.isDelegating || age >= ANNOUNCE_AFTER_MILLISECONDS) {
-        const isDue = now() - announcedAt >= ANNOUNCEMENT_MILLISECONDS;
+      const uptimeMilliseconds = now() - startedAt;
+      const probeIntervalMilliseconds =
+        uptimeMilliseconds < STARTUP_MILLISECONDS
+          ? STARTUP_PROBE_INTERVAL_MILLISECONDS
+          : PROBE_INTERVAL_MILLISECONDS;
+      if (now() - probedAt >= probeIntervalMilliseconds) probe();
+      if (!planned.isDelegating || uptimeMilliseconds >= ANNOUNCE_AFTER_MILLISECONDS) {
+        const isDue = now() - announcedAt >= ANNOUNCEMENT_INTERVAL_MILLISECONDS;
         if (isDue || (isPrimary && !wasPrimary)) announce();
         wasPrimary = isPrimary;
       }
       summarize();
-      return isDelegate ? TICK_MILLISECONDS : DIGEST_MILLISECONDS;
+      return isDelegate ? TICK_INTERVAL_MILLISECONDS : DIGEST_INTERVAL_MILLISECONDS;
     },
-    onNews: tellNews,
+    expediteDigests,
     isDelegating: () => duties().isDelegating,
     isDelegate: () => duties().isDelegate,
     readingRole: () => duties().readingRole,
     entryIds,
-    livingHosts: () => members.seenWithin(VOUCH_MILLISECONDS).map(({ host }) => host),
+    liveHosts: () => members.seenWithin(EVIDENCE_LIFETIME_MILLISECONDS).map(({ host }) => host),
   };
 }
--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -16,7 +16,7 @@
 } from './message.js';
 export { ReadingRole } from './plan-delegates.js';
 export type { RankLoad } from './pack-loads.js';
-export { playFleet } from './played-fleet.js';
-export type { PlayedEntry, PlayedFleet, PlayedFleetOptions } from './played-fleet.js';
+export { simulateFleet } from './simulated-fleet.js';
+export type { SimulatedEntry, SimulatedFleet, SimulatedFleetOptions } from './simulated-fleet.js';
 export { createSidecarFleet } from './sidecar-fleet.js';
 export type { SidecarFleet, SidecarFleetOptions } from './sidecar-fleet.js';
--- a/packages/fleet/src/leader-list.ts
+++ b/packages/fleet/src/leader-list.ts
@@ -1,16 +1,16 @@
 /**
  * Who leads each lock-step group, as far as this instance has heard: the highest fencing number.
  */
-import type { LeaderName } from './message.js';
+import type { LeaderAddress } from './message.js';
 
 export interface LeaderList {
   /** False when as new a leader is known already. */
-  onLeader(leader: LeaderName): boolean;
-  all(): readonly LeaderName[];
+  onLeader(leader: LeaderAddress): boolean;
+  all(): readonly LeaderAddress[];
 }
 
 export function createLeaderList(): LeaderList {
-  const leaders = new Map<string, LeaderName>();
+  const leaders = new Map<string, LeaderAddress>();
   return {
     onLeader(leader) {
       const known = leaders.get(leader.group);
--- a/packages/fleet/src/load-board.ts
+++ b/packages/fleet/src/load-table.ts
@@ -5,7 +5,7 @@
 import type { InstanceName, RankState, SummarizedRank } from './message.js';
 import type { RankLoad } from './pack-loads.js';
 
-export interface LoadBoard {
+export interface LoadTable {
   /** Number of ranks with a known load. */
   size(): number;
   /** Takes a sidecar's own report. True when it opens or breaks the group as known so far. */
@@ -21,33 +21,33 @@
   /** Ranks of a group whose sidecars report directly. */
   ranksOf(group: string): SummarizedRank[];
   /** Drops what is too old to be told. */
-  forgetOld(): void;
+  removeExpired(): void;
 }
 
 export interface RelayedLoads {
   /** Those that are newer than what was known. */
   readonly newer: readonly RankLoad[];
   /** Whether one of them opens or breaks its group as known so far. */
-  readonly hasTurned: boolean;
+  readonly isGroupStateChanged: boolean;
 }
 
-interface BoardEntry {
+interface LoadRecord {
   readonly isLocal: boolean;
   readonly load: Omit<RankLoad, 'ageMilliseconds'>;
   readonly at: number;
 }
 
-interface DirectEntry extends BoardEntry {
+interface DirectLoadRecord extends LoadRecord {
   readonly from: InstanceName;
   readonly state: RankState;
 }
 
 /** A load that was not repeated for this long says nothing any more. */
-const STALE_MILLISECONDS = 1500;
+const LOAD_LIFETIME_MILLISECONDS = 1500;
 /** Where a rank is holds for longer: reports of a sidecar may be lost. */
-const DIRECTORY_MILLISECONDS = 3000;
+const RECORD_LIFETIME_MILLISECONDS = 3000;
 /** Ages are told in steps; a relayed load within one step is the same one. */
-const AGE_STEP_MILLISECONDS = 10;
+const AGE_RESOLUTION_MILLISECONDS = 10;
 
 function keyOf({ group, rank }: { readonly group: string; readonly rank: number }): string {
   return `${group}\u0000${rank}`;
@@ -55,19 +55,19 @@
 
 type GroupState = Pick<RankLoad, 'isOpen' | 'epoch'>;
 
-function isTurn(before: GroupState | undefined, after: GroupState): boolean {
+function isStateChange(before: GroupState | undefined, after: GroupState): boolean {
   return before?.isOpen !== after.isOpen || before.epoch !== after.epoch;
 }
 
-export function createLoadBoard(now: () => number): LoadBoard {
-  const direct = new Map<string, DirectEntry>();
-  const newest = new Map<string, BoardEntry>();
+export function createLoadTable(now: () => number): LoadTable {
+  const direct = new Map<string, DirectLoadRecord>();
+  const newest = new Map<string, LoadRecord>();
 
-  function toLoads(entries: Iterable<BoardEntry>): RankLoad[] {
+  function toLoads(entries: Iterable<LoadRecord>): RankLoad[] {
     const loads: RankLoad[] = [];
     for (const { load, at } of entries) {
       const ageMilliseconds = now() - at;
-      if (ageMilliseconds <= STALE_MILLISECONDS) loads.push({ ...load, ageMilliseconds });
+      if (ageMilliseconds <= LOAD_LIFETIME_MILLISECONDS) loads.push({ ...load, ageMilliseconds });
     }
     return loads;
   }
@@ -81,23 +81,23 @@
       const entry = { load, at: now(), isLocal: true };
       direct.set(key, { ...entry, from, state });
       newest.set(key, entry);
-      return isTurn(before, load);
+      return isStateChange(before, load);
     },
     onRelayed(loads, isAdopted) {
       const newer: RankLoad[] = [];
-      let hasTurned = false;
+      let isGroupStateChanged = false;
       for (const { ageMilliseconds, ...load } of loads) {
         const at = now() - ageMilliseconds;
         const known = newest.get(keyOf(load));
-        if (known !== undefined && at <= known.at + AGE_STEP_MILLISECONDS) continue;
+        if (known !== undefined && at <= known.at + AGE_RESOLUTION_MILLISECONDS) continue;
         newest.set(keyOf(load), { load, at, isLocal: isAdopted });
         newer.push({ ...load, ageMilliseconds });
-        if (isTurn(known?.load, load)) hasTurned = true;
+        if (isStateChange(known?.load, load)) isGroupStateChanged = true;
       }
-      return { newer, hasTurned };
+      return { newer, isGroupStateChanged };
     },
     direct(isWanted) {
-      const wanted: BoardEntry[] = [];
+      const wanted: LoadRecord[] = [];
       for (const entry of direct.values()) if (isWanted(entry.from)) wanted.push(entry);
       return toLoads(wanted);
     },
@@ -107,18 +107,18 @@
     ranksOf(group) {
       const ranks: SummarizedRank[] = [];
       for (const { state, from, at } of direct.values()) {
-        if (state.group !== group || now() - at > DIRECTORY_MILLISECONDS) continue;
+        if (state.group !== group || now() - at > RECORD_LIFETIME_MILLISECONDS) continue;
         const { rank, backendServerPort, pace, hasPendingOrder } = state;
         ranks.push({ rank, host: from.host, backendServerPort, pace, hasPendingOrder });
       }
       return ranks;
     },
-    forgetOld() {
+    removeExpired() {
       for (const [key, { at }] of newest) {
-        if (now() - at > DIRECTORY_MILLISECONDS) newest.delete(key);
+        if (now() - at > RECORD_LIFETIME_MILLISECONDS) newest.delete(key);
       }
       for (const [key, { at }] of direct) {
-        if (now() - at > DIRECTORY_MILLISECONDS) direct.delete(key);
+        if (now() - at > RECORD_LIFETIME_MILLISECONDS) direct.delete(key);
       }
     },
   };
--- a/packages/fleet/src/member-list.ts
+++ b/packages/fleet/src/member-list.ts
@@ -9,9 +9,9 @@
   /** Takes note that an entry was heard directly. */
   onHeard(name: InstanceName): void;
   /** Takes note that a delegate of the entry's own zone hears it. */
-  onVouched(name: InstanceName): void;
+  onConfirmed(name: InstanceName): void;
   /** Takes note that another entry named it. */
-  onNamed(name: InstanceName): void;
+  onMentioned(name: InstanceName): void;
   /** Takes note that an answer is expected from an entry. */
   onContacted(instanceId: string): void;
   /** Whether an entry was sent to and has not answered for too long. */
@@ -22,35 +22,35 @@
   /** Those that were heard directly within the time. */
   heardWithin(milliseconds: number): InstanceName[];
   /** Those that a delegate of their zone vouched for within the time. */
-  vouchedWithin(milliseconds: number): InstanceName[];
+  confirmedWithin(milliseconds: number): InstanceName[];
   /** Those with evidence of any kind within the time. */
   seenWithin(milliseconds: number): InstanceName[];
   /** Drops the entries that nothing was learned of for long. Returns their names. */
-  forgetSilent(): InstanceName[];
+  removeSilent(): InstanceName[];
 }
 
 interface Member {
   name: InstanceName;
   heardAt: number;
-  vouchedAt: number;
-  namedAt: number;
+  confirmedAt: number;
+  mentionedAt: number;
   /** When the first unanswered message went out. */
-  awaitedSince: number | undefined;
+  unansweredSince: number | undefined;
 }
 
 /** Three digests of an entry that is no primary may be lost. */
-export const SUSPECT_MILLISECONDS = 1600;
+export const SUSPICION_TIMEOUT_MILLISECONDS = 1600;
 /**
  * Members count for this long after the last evidence: bounds that all entries share are divided
  * by their number, and one that is cut off still takes its share.
  */
-const FORGET_MILLISECONDS = 30_000;
+const MEMBER_LIFETIME_MILLISECONDS = 30_000;
 
-export function createMemberList(own: string, now: () => number): MemberList {
+export function createMemberList(ownInstanceId: string, now: () => number): MemberList {
   const members = new Map<string, Member>();
   let list: readonly InstanceName[] | undefined;
 
-  function memberOf(name: InstanceName): Member {
+  function findOrAddMember(name: InstanceName): Member {
     const known = members.get(name.instanceId);
     if (known !== undefined) {
       if (known.name.host !== name.host) list = undefined;
@@ -60,17 +60,17 @@
     const member: Member = {
       name,
       heardAt: -Infinity,
-      vouchedAt: -Infinity,
-      namedAt: -Infinity,
-      awaitedSince: undefined,
+      confirmedAt: -Infinity,
+      mentionedAt: -Infinity,
+      unansweredSince: undefined,
     };
     members.set(name.instanceId, member);
     list = undefined;
     return member;
   }
 
-  function seenAt({ heardAt, vouchedAt, namedAt }: Member): number {
-    return Math.max(heardAt, vouchedAt, namedAt);
+  function seenAt({ heardAt, confirmedAt, mentionedAt }: Member): number {
+    return Math.max(heardAt, confirmedAt, mentionedAt);
   }
 
   function within(milliseconds: number, timeOf: (member: Member) => number): InstanceName[] {
@@ -82,23 +82,23 @@
 
   return {
     onHeard(name) {
-      const member = memberOf(name);
+      const member = findOrAddMember(name);
       member.heardAt = now();
-      member.awaitedSince = undefined;
+      member.unansweredSince = undefined;
     },
-    onVouched(name) {
-      if (name.instanceId !== own) memberOf(name).vouchedAt = now();
+    onConfirmed(name) {
+      if (name.instanceId !== ownInstanceId) findOrAddMember(name).confirmedAt = now();
     },
-    onNamed(name) {
-      if (name.instanceId !== own) memberOf(name).namedAt = now();
+    onMentioned(name) {
+      if (name.instanceId !== ownInstanceId) findOrAddMember(name).mentionedAt = now();
     },
     onContacted(instanceId) {
       const member = members.get(instanceId);
-      if (member !== undefined) member.awaitedSince ??= now();
+      if (member !== undefined) member.unansweredSince ??= now();
     },
     isSuspected(instanceId) {
-      const since = members.get(instanceId)?.awaitedSince;
-      return since !== undefined && now() - since > SUSPECT_MILLISECONDS;
+      const since = members.get(instanceId)?.unansweredSince;
+      return since !== undefined && now() - since > SUSPICION_TIMEOUT_MILLISECONDS;
     },
     find: (instanceId) => members.get(instanceId)?.name,
     known() {
@@ -106,17 +106,17 @@
       return list;
     },
     heardWithin: (milliseconds) => within(milliseconds, ({ heardAt }) => heardAt),
-    vouchedWithin: (milliseconds) => within(milliseconds, ({ vouchedAt }) => vouchedAt),
+    confirmedWithin: (milliseconds) => within(milliseconds, ({ confirmedAt }) => confirmedAt),
     seenWithin: (milliseconds) => within(milliseconds, seenAt),
-    forgetSilent() {
-      const forgotten: InstanceName[] = [];
+    removeSilent() {
+      const removed: InstanceName[] = [];
       for (const [instanceId, member] of members) {
-        if (now() - seenAt(member) <= FORGET_MILLISECONDS) continue;
+        if (now() - seenAt(member) <= MEMBER_LIFETIME_MILLISECONDS) continue;
         members.delete(instanceId);
-        forgotten.push(member.name);
+        removed.push(member.name);
         list = undefined;
       }
-      return forgotten;
+      return removed;
     },
   };
 }
--- a/packages/fleet/src/message.ts
+++ b/packages/fleet/src/message.ts
@@ -51,7 +51,7 @@
   Fleet = 'fleet',
 }
 
-export interface LeaderName {
+export interface LeaderAddress {
   readonly group: string;
   readonly host: string;
   /** Fencing number of the leader. */
@@ -113,7 +113,7 @@
       /** Scope and hash of the sender's roster; undefined from an entry that is no delegate. */
       readonly roster: { readonly scope: RosterScope; readonly hash: number } | undefined;
       readonly loads: readonly LoadBucket[];
-      readonly leaders: readonly LeaderName[];
+      readonly leaders: readonly LeaderAddress[];
       /** How fresh the sender's copies of the store's tables are; read by the entry program. */
       readonly freshness: JsonObject;
       readonly rateLimits: readonly RelayedRateLimit[];
@@ -208,8 +208,8 @@
   return buckets;
 }
 
-function decodeLeaders(body: JsonObject): LeaderName[] {
-  const leaders: LeaderName[] = [];
+function decodeLeaders(body: JsonObject): LeaderAddress[] {
+  const leaders: LeaderAddress[] = [];
   for (const leader of objectsOf(body, 'leaders')) {
     const group = textOf(leader, 'group');
     const host = textOf(leader, 'host');
--- a/packages/fleet/src/pack-loads.ts
+++ b/packages/fleet/src/pack-loads.ts
@@ -23,25 +23,25 @@
 }
 
 const BYTES_PER_RANK = 4;
-const MOST_IN_A_BYTE = 255;
+const MAXIMUM_BYTE = 255;
 const MILLISECONDS_PER_AGE_UNIT = 10;
 
 function toByte(value: number): number {
-  return Math.max(0, Math.min(MOST_IN_A_BYTE, Math.round(value)));
+  return Math.max(0, Math.min(MAXIMUM_BYTE, Math.round(value)));
 }
 
 function packBucket(loads: readonly RankLoad[]): string {
   const bytes: number[] = [];
-  let before = -1;
+  let previousRank = -1;
   for (const load of [...loads].sort((left, right) => left.rank - right.rank)) {
-    let distance = load.rank - before;
+    let distance = load.rank - previousRank;
     // A distance that fills its byte only leads on; no load follows it.
-    for (; distance >= MOST_IN_A_BYTE; distance -= MOST_IN_A_BYTE) {
-      bytes.push(MOST_IN_A_BYTE, 0, 0, 0);
+    for (; distance >= MAXIMUM_BYTE; distance -= MAXIMUM_BYTE) {
+      bytes.push(MAXIMUM_BYTE, 0, 0, 0);
     }
-    const age = toByte(load.ageMilliseconds / MILLISECONDS_PER_AGE_UNIT);
-    bytes.push(distance, toByte(load.running), toByte(load.waiting), age);
-    before = load.rank;
+    const ageUnits = toByte(load.ageMilliseconds / MILLISECONDS_PER_AGE_UNIT);
+    bytes.push(distance, toByte(load.running), toByte(load.waiting), ageUnits);
+    previousRank = load.rank;
   }
   return Buffer.from(bytes).toString('base64');
 }
@@ -69,18 +69,18 @@
   for (const { group, epoch, isOpen, ranks } of buckets) {
     const bytes = Buffer.from(ranks, 'base64');
     let rank = -1;
-    for (let at = 0; at + BYTES_PER_RANK <= bytes.length; at += BYTES_PER_RANK) {
-      const distance = bytes[at] ?? 0;
+    for (let offset = 0; offset + BYTES_PER_RANK <= bytes.length; offset += BYTES_PER_RANK) {
+      const distance = bytes[offset] ?? 0;
       rank += distance;
-      if (distance === MOST_IN_A_BYTE) continue;
+      if (distance === MAXIMUM_BYTE) continue;
       loads.push({
         group,
         rank,
         epoch,
         isOpen,
-        running: bytes[at + 1] ?? 0,
-        waiting: bytes[at + 2] ?? 0,
-        ageMilliseconds: (bytes[at + 3] ?? 0) * MILLISECONDS_PER_AGE_UNIT,
+        running: bytes[offset + 1] ?? 0,
+        waiting: bytes[offset + 2] ?? 0,
+        ageMilliseconds: (bytes[offset + 3] ?? 0) * MILLISECONDS_PER_AGE_UNIT,
       });
     }
   }
--- a/packages/fleet/src/authored-rosters.ts
+++ b/packages/fleet/src/published-rosters.ts
@@ -8,20 +8,20 @@
 import { hashNames } from './roster.js';
 import type { Roster } from './roster.js';
 
-export interface AuthoredRosters {
+export interface PublishedRosters {
   /** Entries of the own zone that this one hears. */
-  ofZone(): Roster;
+  zoneRoster(): Roster;
   /** What a delegate vouches for: entries that it hears, and those that other zones vouch for. */
-  ofFleet(): Roster;
+  fleetRoster(): Roster;
   /** Names that help a newcomer to find the delegates; they are not vouched for. */
-  secondHand(): Roster;
+  unconfirmedRoster(): Roster;
 }
 
 /** Evidence of a living entry is passed on for this long. */
-export const VOUCH_MILLISECONDS = 3000;
+export const EVIDENCE_LIFETIME_MILLISECONDS = 3000;
 
-export function createAuthoredRosters(self: InstanceName, members: MemberList): AuthoredRosters {
-  function author(scope: RosterScope, others: readonly InstanceName[]): Roster {
+export function createPublishedRosters(self: InstanceName, members: MemberList): PublishedRosters {
+  function buildRoster(scope: RosterScope, others: readonly InstanceName[]): Roster {
     const named = new Map<string, InstanceName>([[self.instanceId, self]]);
     for (const name of others) named.set(name.instanceId, name);
     const entries = [...named.values()];
@@ -29,17 +29,21 @@
   }
 
   return {
-    ofZone() {
+    zoneRoster() {
       const inZone: InstanceName[] = [];
-      for (const name of members.heardWithin(VOUCH_MILLISECONDS)) {
+      for (const name of members.heardWithin(EVIDENCE_LIFETIME_MILLISECONDS)) {
         if (name.availabilityZone === self.availabilityZone) inZone.push(name);
       }
-      return author(RosterScope.Zone, inZone);
+      return buildRoster(RosterScope.Zone, inZone);
     },
-    ofFleet() {
-      const heard = members.heardWithin(VOUCH_MILLISECONDS);
-      return author(RosterScope.Fleet, [...heard, ...members.vouchedWithin(VOUCH_MILLISECONDS)]);
+    fleetRoster() {
+      const heard = members.heardWithin(EVIDENCE_LIFETIME_MILLISECONDS);
+      return buildRoster(RosterScope.Fleet, [
+        ...heard,
+        ...members.confirmedWithin(EVIDENCE_LIFETIME_MILLISECONDS),
+      ]);
     },
-    secondHand: () => author(RosterScope.Fleet, members.seenWithin(VOUCH_MILLISECONDS)),
+    unconfirmedRoster: () =>
+      buildRoster(RosterScope.Fleet, members.seenWithin(EVIDENCE_LIFETIME_MILLISECONDS)),
   };
 }
--- a/packages/fleet/src/roster.ts
+++ b/packages/fleet/src/roster.ts
@@ -23,15 +23,15 @@
   return hash;
 }
 
-export interface HeardRosters {
+export interface ReceivedRosters {
   /** Takes a roster of an entry. */
   onRoster(from: InstanceName, roster: Roster): void;
   /** Repeats the known roster of an entry; false when this one is not known. */
   onHash(from: InstanceName, scope: RosterScope, hash: number): boolean;
-  forget(instanceId: string): void;
+  remove(instanceId: string): void;
 }
 
-export function createHeardRosters(members: MemberList): HeardRosters {
+export function createReceivedRosters(members: MemberList): ReceivedRosters {
   const rosters = new Map<string, Roster>();
 
   function apply(from: InstanceName, { scope, entries }: Roster): void {
@@ -39,10 +39,10 @@
       switch (scope) {
         case RosterScope.Zone:
           // Only a zone's own entries hear its members directly.
-          if (name.availabilityZone === from.availabilityZone) members.onVouched(name);
+          if (name.availabilityZone === from.availabilityZone) members.onConfirmed(name);
           break;
         case RosterScope.Fleet:
-          members.onNamed(name);
+          members.onMentioned(name);
           break;
         default: {
           const unreachable: never = scope;
@@ -63,7 +63,7 @@
       apply(from, known);
       return true;
     },
-    forget: (instanceId) => {
+    remove: (instanceId) => {
       rosters.delete(instanceId);
     },
   };
--- a/packages/fleet/src/sidecar-fleet.ts
+++ b/packages/fleet/src/sidecar-fleet.ts
@@ -43,10 +43,10 @@
   /** Reports to all entries that listen: the group was lost or is back, or a leader is new. */
   reportNow(): void;
   /** Sends the growth of this rank's counts towards the leader. */
-  tellGrowth(growth: PackedGrowth): void;
+  sendGrowth(growth: PackedGrowth): void;
   /** Asks the sidecar at a host for a fresh report. */
-  ask(host: string, question: number): void;
-  answer(host: string, question: number, report: RankReport): void;
+  requestReport(host: string, question: number): void;
+  answerReportRequest(host: string, question: number, report: RankReport): void;
   /** Where the other ranks are, by rank. */
   targets(): ReadonlyMap<number, RankTarget>;
   /** What is known of the other ranks, by rank. */
@@ -57,21 +57,21 @@
   readonly name: InstanceName;
   readonly wantsEveryReport: boolean;
   readonly isPrimary: boolean;
-  readonly at: number;
+  readonly announcedAt: number;
 }
 
 /** Between two ticks of a leader, and of a rank whose reports are close together. */
-const TICK_MILLISECONDS = 80;
+const TICK_INTERVAL_MILLISECONDS = 80;
 /** Timers fire late, never early: without slack each pause would grow by a tick. */
-const SLACK_MILLISECONDS = TICK_MILLISECONDS / 2;
+const TIMER_SLACK_MILLISECONDS = TICK_INTERVAL_MILLISECONDS / 2;
 /** An entry that has not repeated its announcement for this long is not reported to. */
-const LISTENER_MILLISECONDS = 2500;
+const LISTENER_LIFETIME_MILLISECONDS = 2500;
 /** Between two calls for an entry while none has announced itself. */
-const HELLO_MILLISECONDS = 300;
+const HELLO_INTERVAL_MILLISECONDS = 300;
 /** Between two tellings of where the ranks are to a leader's deputy. */
-const DIRECTORY_MILLISECONDS = 1000;
+const DIRECTORY_INTERVAL_MILLISECONDS = 1000;
 /** A stand-by delegate gets one of so many reports. */
-const STANDBY_DIVISOR = 3;
+const STANDBY_REPORT_DIVISOR = 3;
 
 export function createSidecarFleet(options: SidecarFleetOptions): SidecarFleet {
   const { self, now, send } = options;
@@ -79,10 +79,10 @@
   const reportedAt = new Map<string, number>();
   const ranks = new Map<number, SummarizedRank>();
   /** Host of the entry whose summary named the rank last. */
-  const entryOfRank = new Map<number, string>();
+  const entryHostByRank = new Map<number, string>();
   let helloAt = -Infinity;
   /** Since when no entry has listened. */
-  let unheardSince = now();
+  let withoutListenerSince = now();
   let heartbeatAt = -Infinity;
   let directoryAt = -Infinity;
   let leaderHost: string | undefined;
@@ -92,7 +92,7 @@
   function activeListeners(): Listener[] {
     const active: Listener[] = [];
     for (const [instanceId, listener] of listeners) {
-      if (now() - listener.at <= LISTENER_MILLISECONDS) {
+      if (now() - listener.announcedAt <= LISTENER_LIFETIME_MILLISECONDS) {
         active.push(listener);
       } else {
         listeners.delete(instanceId);
@@ -114,28 +114,28 @@
     });
   }
 
-  function reportDue(): void {
+  function sendDueReports(): void {
     const { beat } = options.pace();
     for (const listener of activeListeners()) {
-      const pause = listener.wantsEveryReport ? beat : beat * STANDBY_DIVISOR;
-      const since = now() - (reportedAt.get(listener.name.instanceId) ?? -Infinity);
-      if (since >= pause - SLACK_MILLISECONDS) report(listener);
+      const intervalMilliseconds = listener.wantsEveryReport ? beat : beat * STANDBY_REPORT_DIVISOR;
+      const elapsedMilliseconds = now() - (reportedAt.get(listener.name.instanceId) ?? -Infinity);
+      if (elapsedMilliseconds >= intervalMilliseconds - TIMER_SLACK_MILLISECONDS) report(listener);
     }
   }
 
-  function findListeners(): void {
+  function requestListeners(): void {
     if (listeners.size > 0) {
-      unheardSince = now();
+      withoutListenerSince = now();
       return;
     }
-    if (now() - helloAt < HELLO_MILLISECONDS) return;
+    if (now() - helloAt < HELLO_INTERVAL_MILLISECONDS) return;
     helloAt = now();
     for (const host of options.seedHosts()) {
       send(host, {
         kind: MessageKind.Hello,
         scope: RosterScope.Fleet,
         knownHash: undefined,
-        waitedMilliseconds: now() - unheardSince,
+        waitedMilliseconds: now() - withoutListenerSince,
       });
     }
   }
@@ -144,7 +144,7 @@
     const fence = options.fence();
     const state = options.state();
     if (fence === undefined || state === undefined) return;
-    if (now() - heartbeatAt < options.pace().heartbeat - SLACK_MILLISECONDS) return;
+    if (now() - heartbeatAt < options.pace().heartbeat - TIMER_SLACK_MILLISECONDS) return;
     heartbeatAt = now();
     for (const [rank, { host }] of ranks) {
       if (rank === state.rank) continue;
@@ -155,20 +155,25 @@
         isSettled: options.isSettled(),
       });
     }
-    tellDeputy(state);
+    sendDirectoryToDeputy(state);
   }
 
   /**
    * The rank at which this leader holds its group replaces it first, and has to reach all ranks at
    * once then: it cannot wait until entries have heard of it and tell it where they are.
    */
-  function tellDeputy({ group, rank }: RankState): void {
-    if (now() - directoryAt < DIRECTORY_MILLISECONDS) return;
+  function sendDirectoryToDeputy({ group, rank }: RankState): void {
+    if (now() - directoryAt < DIRECTORY_INTERVAL_MILLISECONDS) return;
     const deputy = ranks.get(rank + 1) ?? ranks.get(0);
     if (deputy === undefined || deputy.rank === rank) return;
     directoryAt = now();
     const listed = [...ranks.values()];
-    send(deputy.host, { kind: MessageKind.ZoneSummary, group, ranks: listed, growth: undefined });
+    send(deputy.host, {
+      kind: MessageKind.ZoneSummary,
+      group,
+      ranks: listed,
+      growth: undefined,
+    });
   }
 
   /** The own zone's primary, or another zone's while there is none. */
@@ -182,14 +187,14 @@
     return found;
   }
 
-  function takeSummary(
+  function handleSummary(
     from: InstanceName,
     { group, ranks: listed, growth }: Extract<FleetMessage, { kind: MessageKind.ZoneSummary }>,
   ): void {
     if (group !== options.state()?.group) return;
     for (const rank of listed) {
       ranks.set(rank.rank, rank);
-      if (from.role === InstanceRole.Entry) entryOfRank.set(rank.rank, from.host);
+      if (from.role === InstanceRole.Entry) entryHostByRank.set(rank.rank, from.host);
     }
     if (growth !== undefined && options.fence() !== undefined) options.onGrowth(growth);
   }
@@ -200,14 +205,14 @@
         case MessageKind.Announcement: {
           const { wantsEveryReport, isPrimary } = message;
           const isNew = !listeners.has(from.instanceId);
-          const listener = { name: from, wantsEveryReport, isPrimary, at: now() };
+          const listener = { name: from, wantsEveryReport, isPrimary, announcedAt: now() };
           listeners.set(from.instanceId, listener);
           options.onProfiles(message.profiles);
           if (isNew) report(listener);
           return;
         }
         case MessageKind.ZoneSummary:
-          takeSummary(from, message);
+          handleSummary(from, message);
           return;
         case MessageKind.LeaderHeartbeat:
           if (message.group !== options.state()?.group) return;
@@ -239,16 +244,16 @@
       }
     },
     tick() {
-      findListeners();
-      reportDue();
+      requestListeners();
+      sendDueReports();
       sendHeartbeats();
       const { beat, isGrowthRelayed } = options.pace();
-      return isGrowthRelayed && options.fence() === undefined ? beat : TICK_MILLISECONDS;
+      return isGrowthRelayed && options.fence() === undefined ? beat : TICK_INTERVAL_MILLISECONDS;
     },
     reportNow() {
       for (const listener of activeListeners()) report(listener);
     },
-    tellGrowth(growth) {
+    sendGrowth(growth) {
       const state = options.state();
       if (state === undefined) return;
       if (!options.pace().isGrowthRelayed) {
@@ -259,14 +264,14 @@
       const primary = findPrimary();
       if (primary !== undefined) report(primary, growth);
     },
-    ask: (host, question) => send(host, { kind: MessageKind.ReportQuestion, question }),
-    answer: (host, question, fresh) =>
+    requestReport: (host, question) => send(host, { kind: MessageKind.ReportQuestion, question }),
+    answerReportRequest: (host, question, fresh) =>
       send(host, { kind: MessageKind.ReportAnswer, question, report: fresh }),
     targets() {
       const targets = new Map<number, RankTarget>();
       const { isGrowthRelayed } = options.pace();
       for (const { rank, host, backendServerPort } of ranks.values()) {
-        const entryHost = isGrowthRelayed ? entryOfRank.get(rank) : undefined;
+        const entryHost = isGrowthRelayed ? entryHostByRank.get(rank) : undefined;
         targets.set(rank, {
           sidecar: { host, port: options.sidecarPort },
           backendServer: { host, port: backendServerPort },
--- a/packages/fleet/src/played-fleet.ts
+++ b/packages/fleet/src/simulated-fleet.ts
@@ -16,13 +16,13 @@
 import { createSidecarFleet } from './sidecar-fleet.js';
 import type { SidecarFleet } from './sidecar-fleet.js';
 
-export interface PlayedFleetOptions {
+export interface SimulatedFleetOptions {
   readonly seed: number;
   readonly zones: number;
   readonly entries: number;
   readonly sidecars: number;
   /** Share of datagrams that are lost. */
-  readonly loss?: number;
+  readonly lossRatio?: number;
   /** Instances start within this time of each other. */
   readonly startWithinMilliseconds?: number;
   /** Time of a datagram on its way. */
@@ -32,7 +32,7 @@
   onFreshness?(entry: InstanceName, from: InstanceName, freshness: JsonObject): void;
 }
 
-export interface PlayedEntry {
+export interface SimulatedEntry {
   readonly name: InstanceName;
   readonly fleet: EntryFleet;
   /** When each rank's load was last told, and how old it was then, by rank. */
@@ -40,15 +40,15 @@
   /** Reports of other entries, by what they say of the store. */
   readonly freshness: { readonly from: string; readonly at: number }[];
   /** Rate limits and when they were stated, by backend server. */
-  readonly rateLimits: Map<string, PlayedRateLimit>;
+  readonly rateLimits: Map<string, SimulatedRateLimit>;
 }
 
-export interface PlayedRateLimit {
+export interface SimulatedRateLimit {
   readonly requestsPerSecond: number | undefined;
   readonly at: number;
 }
 
-export interface PlayedSidecar {
+export interface SimulatedSidecar {
   readonly name: InstanceName;
   readonly fleet: SidecarFleet;
   readonly rank: number;
@@ -57,7 +57,7 @@
   fence: number | undefined;
   /** Growth that reached this sidecar as a leader. */
   readonly growths: PackedGrowth[];
-  heardLeader: number;
+  latestLeaderFence: number;
 }
 
 export interface Traffic {
@@ -66,9 +66,9 @@
   readonly received: ReadonlyMap<string, { readonly datagrams: number; readonly bytes: number }>;
 }
 
-export interface PlayedFleet {
-  readonly entries: readonly PlayedEntry[];
-  readonly sidecars: readonly PlayedSidecar[];
+export interface SimulatedFleet {
+  readonly entries: readonly SimulatedEntry[];
+  readonly sidecars: readonly SimulatedSidecar[];
   now(): number;
   run(milliseconds: number): void;
   /** Stops an instance without a word. */
@@ -77,7 +77,7 @@
   pause(instanceId: string): void;
   resume(instanceId: string): void;
   /** Drops what goes from one instance to the other where the filter says so. */
-  cut(isCut: (from: InstanceName, to: InstanceName) => boolean): void;
+  partition(isPartitioned: (from: InstanceName, to: InstanceName) => boolean): void;
   /** Counts the traffic from now on. */
   countTraffic(): Traffic;
 }
@@ -85,11 +85,11 @@
 const GROUP = 'group';
 const BACKEND_SERVER_PORT = 80;
 const SIDECAR_PORT = 90;
-const HOP_MILLISECONDS = 1;
+const DEFAULT_DELAY_MILLISECONDS = 1;
 /** What is relayed grows older by this at most on its way. */
-const RELAY_MILLISECONDS = 50;
+const RELAY_AGE_TOLERANCE_MILLISECONDS = 50;
 
-interface Event {
+interface ScheduledEvent {
   readonly at: number;
   readonly order: number;
   readonly run: () => void;
@@ -98,15 +98,15 @@
 /** Runs callbacks in the order of their times. */
 function createTimeline(): {
   now(): number;
-  after(ms: number, run: () => void): void;
+  schedule(ms: number, run: () => void): void;
   runUntil(at: number): void;
 } {
-  const events: Event[] = [];
+  const events: ScheduledEvent[] = [];
   let now = 0;
   let order = 0;
   return {
     now: () => now,
-    after(milliseconds, run) {
+    schedule(milliseconds, run) {
       const event = { at: now + milliseconds, order, run };
       order += 1;
       let low = 0;
@@ -131,31 +131,31 @@
   };
 }
 
-interface Instance {
+interface SimulatedInstance {
   readonly name: InstanceName;
   receive(from: InstanceName, message: FleetMessage): void;
 }
 
-export function playFleet(options: PlayedFleetOptions): PlayedFleet {
+export function simulateFleet(options: SimulatedFleetOptions): SimulatedFleet {
   const random = createRandom(options.seed);
   const timeline = createTimeline();
-  const byHost = new Map<string, Instance>();
+  const byHost = new Map<string, SimulatedInstance>();
   const dead = new Set<string>();
   /** What paused instances do once they go on. */
   const paused = new Map<string, (() => void)[]>();
-  const entries: PlayedEntry[] = [];
-  const sidecars: PlayedSidecar[] = [];
-  let isCut: (from: InstanceName, to: InstanceName) => boolean = () => false;
+  const entries: SimulatedEntry[] = [];
+  const sidecars: SimulatedSidecar[] = [];
+  let isPartitioned: (from: InstanceName, to: InstanceName) => boolean = () => false;
   let datagrams = new Map<string, number>();
   let received = new Map<string, { datagrams: number; bytes: number }>();
 
   function deliver(from: InstanceName, host: string, bytes: Buffer, kind: string): void {
     const target = byHost.get(host);
     if (target === undefined || dead.has(target.name.instanceId)) return;
-    if (dead.has(from.instanceId) || isCut(from, target.name)) return;
-    const held = paused.get(target.name.instanceId);
-    if (held !== undefined) {
-      held.push(() => deliver(from, host, bytes, kind));
+    if (dead.has(from.instanceId) || isPartitioned(from, target.name)) return;
+    const deferred = paused.get(target.name.instanceId);
+    if (deferred !== undefined) {
+      deferred.push(() => deliver(from, host, bytes, kind));
       return;
     }
     const datagram = decodeDatagram(bytes);
@@ -170,22 +170,22 @@
   function sender(from: InstanceName): (host: string, message: FleetMessage) => void {
     return (host, message) => {
       datagrams.set(message.kind, (datagrams.get(message.kind) ?? 0) + 1);
-      if (random() < (options.loss ?? 0)) return;
+      if (random() < (options.lossRatio ?? 0)) return;
       const bytes = encodeDatagram({ from, sequence: 1, message });
-      timeline.after(options.delayMilliseconds ?? HOP_MILLISECONDS, () =>
+      timeline.schedule(options.delayMilliseconds ?? DEFAULT_DELAY_MILLISECONDS, () =>
         deliver(from, host, bytes, message.kind),
       );
     };
   }
 
   function start(name: InstanceName, tick: () => number): void {
-    const step = (): void => {
+    const runTick = (): void => {
       if (dead.has(name.instanceId)) return;
-      const held = paused.get(name.instanceId);
-      if (held === undefined) timeline.after(tick(), step);
-      else held.push(step);
+      const deferred = paused.get(name.instanceId);
+      if (deferred === undefined) timeline.schedule(tick(), runTick);
+      else deferred.push(runTick);
     };
-    timeline.after(random() * (options.startWithinMilliseconds ?? 300), step);
+    timeline.schedule(random() * (options.startWithinMilliseconds ?? 300), runTick);
   }
 
   const zoneOf = (index: number): string => `zone-${index % options.zones}`;
@@ -203,15 +203,16 @@
       role: InstanceRole.Entry,
       availabilityZone: zoneOf(index),
     };
-    const loads: PlayedEntry['loads'] = new Map();
+    const loads: SimulatedEntry['loads'] = new Map();
     const freshness: { from: string; at: number }[] = [];
-    const rateLimits: PlayedEntry['rateLimits'] = new Map();
-    const takeRateLimits = (limits: readonly RelayedRateLimit[]): void => {
+    const rateLimits: SimulatedEntry['rateLimits'] = new Map();
+    const handleRateLimits = (limits: readonly RelayedRateLimit[]): void => {
       for (const { instanceId, requestsPerSecond, ageMilliseconds } of limits) {
         const at = timeline.now() - ageMilliseconds;
-        if (at <= (rateLimits.get(instanceId)?.at ?? -Infinity) + RELAY_MILLISECONDS) continue;
+        if (at <= (rateLimits.get(instanceId)?.at ?? -Infinity) + RELAY_AGE_TOLERANCE_MILLISECONDS)
+          continue;
         rateLimits.set(instanceId, { requestsPerSecond, at });
-        fleet.onNews();
+        fleet.expediteDigests();
       }
     };
     const fleet: EntryFleet = createEntryFleet({
@@ -228,17 +229,17 @@
           requestsPerSecond,
           ageMilliseconds: timeline.now() - at,
         })),
-      onRateLimits: takeRateLimits,
-      onFreshness(from, told) {
+      onRateLimits: handleRateLimits,
+      onFreshness(from, relayed) {
         freshness.push({ from: from.instanceId, at: timeline.now() });
-        options.onFreshness?.(name, from, told);
+        options.onFreshness?.(name, from, relayed);
       },
-      onLoads(told) {
-        for (const load of told) loads.set(load.rank, { load, at: timeline.now() });
+      onLoads(relayed) {
+        for (const load of relayed) loads.set(load.rank, { load, at: timeline.now() });
       },
       send: sender(name),
-      wake() {
-        timeline.after(1, () => {
+      requestTick() {
+        timeline.schedule(1, () => {
           if (!paused.has(name.instanceId)) fleet.tick();
         });
       },
@@ -279,7 +280,7 @@
       isSettled: () => true,
       onProfiles: () => undefined,
       onLeader(fence) {
-        sidecar.heardLeader = fence;
+        sidecar.latestLeaderFence = fence;
       },
       onGrowth: (growth) => growths.push(growth),
       onQuestion: () => undefined,
@@ -287,7 +288,7 @@
       send: sender(name),
       now: () => timeline.now(),
     });
-    const sidecar: PlayedSidecar = {
+    const sidecar: SimulatedSidecar = {
       name,
       fleet,
       rank,
@@ -295,7 +296,7 @@
       isOpen: true,
       fence: undefined,
       growths,
-      heardLeader: 0,
+      latestLeaderFence: 0,
     };
     sidecars.push(sidecar);
     byHost.set(name.host, { name, receive: fleet.receive });
@@ -310,12 +311,12 @@
     kill: (instanceId) => dead.add(instanceId),
     pause: (instanceId) => paused.set(instanceId, []),
     resume(instanceId) {
-      const held = paused.get(instanceId) ?? [];
+      const deferred = paused.get(instanceId) ?? [];
       paused.delete(instanceId);
-      for (const run of held) run();
+      for (const run of deferred) run();
     },
-    cut(cutBetween) {
-      isCut = cutBetween;
+    partition(isPartitionedBetween) {
+      isPartitioned = isPartitionedBetween;
     },
     countTraffic() {
       datagrams = new Map();
@@ -333,7 +334,7 @@
 }
 
 /** How often `MessageKind` went out, in total. */
-export function totalOf(traffic: Traffic): number {
+export function countDatagrams(traffic: Traffic): number {
   let total = 0;
   for (const kind of Object.values(MessageKind)) total += traffic.datagrams.get(kind) ?? 0;
   return total;
--- a/packages/group-sidecar/src/played-group.ts
+++ b/packages/group-sidecar/src/played-group.ts
@@ -253,7 +253,7 @@
       onRateLimits: () => undefined,
       onLoads: () => undefined,
       send: (host, message) => send(self, host, message),
-      wake: () => void setTimeout(() => fleet.tick(), 1),
+      requestTick: () => void setTimeout(() => fleet.tick(), 1),
       now,
       random,
     });
--- a/packages/group-sidecar/src/rank-member.ts
+++ b/packages/group-sidecar/src/rank-member.ts
@@ -100,7 +100,7 @@
       return observer.report();
     },
     send(asked, question) {
-      fleet.ask(asked, question);
+      fleet.requestReport(asked, question);
       return true;
     },
   });
@@ -171,7 +171,7 @@
 
   /** What was chosen since the last look goes to the leader at once: a shift makes streams late. */
   function onGrowth(growth: CountGrowth): void {
-    if (leadership.fence() === undefined) fleet.tellGrowth(packGrowth(growth, random));
+    if (leadership.fence() === undefined) fleet.sendGrowth(packGrowth(growth, random));
     else if (observer.report()?.isOpen === true) addGrowth(growth);
   }
 
@@ -180,7 +180,7 @@
     try {
       await observer.refresh();
       const report = observer.report();
-      if (report !== undefined) fleet.answer(to, question, report);
+      if (report !== undefined) fleet.answerReportRequest(to, question, report);
     } catch (thrown) {
       // The leader asks by HTTP next, and is told there that the rank does not answer.
       logger.debug('no report to answer with', { reason: String(thrown) });
