--- a/packages/fleet/src/datagram-link.ts
+++ b/packages/fleet/src/datagram-link.ts
@@ -1,5 +1,6 @@
 /**
- * The UDP socket of one instance: numbers what goes out, and drops what arrives late or twice.
+ * The UDP socket of one instance. Numbers outgoing datagrams, and drops incoming ones that are
+ * duplicated or out of order.
  */
 import { createSocket } from 'node:dgram';
 
@@ -12,7 +13,7 @@
   start(): Promise<void>;
   stop(): void;
   send(host: string, message: FleetMessage): void;
-  /** Datagrams and bytes sent since the start, by kind of message. */
+  /** Datagrams and bytes sent since the process started, by message kind. */
   sent(): ReadonlyMap<string, SentCount>;
 }
 
@@ -34,9 +35,12 @@
   receivedAt: number;
 }
 
-/** A sender that was silent for this long may be a new process, which numbers anew. */
+/**
+ * After this much silence a sender may have restarted with a lower sequence number, so any number
+ * is accepted.
+ */
 const SEQUENCE_RESET_MILLISECONDS = 700;
-/** Senders to remember: more than any instance talks to. */
+/** Bounds the memory for senders; no instance talks to as many. */
 const MAXIMUM_SENDERS = 4096;
 
 export function createDatagramLink(options: DatagramLinkOptions): DatagramLink {
@@ -46,7 +50,7 @@
   const sent = new Map<string, SentCount>();
   let sequence = Date.now();
 
-  /** False for a datagram that a later one of the same process has overtaken. */
+  /** Returns false for a duplicate, and for a datagram that arrives after a later one. */
   function isInOrder(from: InstanceName, received: number): boolean {
     const known = senders.get(from.instanceId);
     const isLate =
--- a/packages/fleet/src/growth-sum.ts
+++ b/packages/fleet/src/growth-sum.ts
@@ -1,13 +1,13 @@
 /**
- * Sums the growth of the counts of a zone's ranks, so that a group's leader reads one message a
- * zone instead of one a rank.
+ * Sums the count increments of a zone's ranks, so that a group's leader receives one message per
+ * zone instead of one per rank.
  */
 import { packGrowth, unpackGrowth } from '@lapisbridge/group-leader';
 import type { PackedGrowth } from '@lapisbridge/group-leader';
 
 export interface GrowthSum {
   add(group: string, growth: PackedGrowth): void;
-  /** The sum since the last call; undefined where nothing grew. */
+  /** Returns the sum since the last call and resets it; undefined when nothing was added. */
   take(group: string): PackedGrowth | undefined;
 }
 
@@ -16,7 +16,7 @@
   readonly counts: number[];
 }
 
-/** One sum stands for many ranks, so its rounding is not averaged out by others. */
+/** More precise than a single rank's counts: no other sums average out its rounding error. */
 const SUM_BITS = 8;
 
 /** `random` is uniform in [0, 1). */
--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -1,6 +1,7 @@
 /**
- * What instances tell each other: who lives, how loaded the ranks are, how fresh a copy of the
- * store's tables is. Delegates of each availability zone relay it.
+ * Gossip between instances over UDP: which entries are alive, the load of every rank, and how fresh
+ * each entry's copies of the store's tables are. In a large fleet, delegates of each availability
+ * zone relay it.
  */
 export { createDatagramLink } from './datagram-link.js';
 export type { DatagramLink, DatagramLinkOptions, SentCount } from './datagram-link.js';
--- a/packages/fleet/src/leader-list.ts
+++ b/packages/fleet/src/leader-list.ts
@@ -1,10 +1,11 @@
 /**
- * Who leads each lock-step group, as far as this instance has heard: the highest fencing number.
+ * The known leader of each lock-step group: of several claims, the one with the highest fencing
+ * number.
  */
 import type { LeaderAddress } from './message.js';
 
 export interface LeaderList {
-  /** False when as new a leader is known already. */
+  /** Returns false when a leader with the same or a higher fencing number is already known. */
   onLeader(leader: LeaderAddress): boolean;
   all(): readonly LeaderAddress[];
 }
--- a/packages/fleet/src/load-table.ts
+++ b/packages/fleet/src/load-table.ts
@@ -1,6 +1,6 @@
 /**
- * The newest load of every rank that an entry has heard of, from its sidecar or from another
- * entry, and where the directly heard ranks are.
+ * Keeps the latest known load of every rank, whether reported by its sidecar or relayed by another
+ * entry, and the addresses of the ranks that report directly.
  */
 import type { InstanceName, RankState, SummarizedRank } from './message.js';
 import type { RankLoad } from './pack-loads.js';
@@ -8,26 +8,29 @@
 export interface LoadTable {
   /** Number of ranks with a known load. */
   size(): number;
-  /** Takes a sidecar's own report. True when it opens or breaks the group as known so far. */
+  /** Records a sidecar's own report. Returns whether the rank's open state or epoch changed. */
   onReport(from: InstanceName, state: RankState): boolean;
-  /** Takes loads that another entry relays; `isAdopted` where its zone took these ranks over. */
+  /**
+   * Records relayed loads. `isAdopted` marks ranks of another zone without delegates, which report
+   * to an entry of this zone instead.
+   */
   onRelayed(loads: readonly RankLoad[], isAdopted: boolean): RelayedLoads;
-  /** Loads reported directly, of sidecars that pass the filter. */
+  /** Loads reported directly by sidecars that pass the filter. */
   direct(isWanted: (sidecar: InstanceName) => boolean): RankLoad[];
-  /** Loads that this zone tells other zones: reported directly or adopted. */
+  /** Loads that this zone relays to other zones: reported directly, or adopted. */
   local(): RankLoad[];
-  /** All loads, however they were learned. */
+  /** All loads, direct and relayed. */
   all(): RankLoad[];
   /** Ranks of a group whose sidecars report directly. */
   ranksOf(group: string): SummarizedRank[];
-  /** Drops what is too old to be told. */
+  /** Removes records that are too old to be relayed or listed. */
   removeExpired(): void;
 }
 
 export interface RelayedLoads {
-  /** Those that are newer than what was known. */
+  /** Loads newer than those known before. */
   readonly newer: readonly RankLoad[];
-  /** Whether one of them opens or breaks its group as known so far. */
+  /** Whether a rank's open state or epoch changed. */
   readonly isGroupStateChanged: boolean;
 }
 
@@ -42,11 +45,11 @@
   readonly state: RankState;
 }
 
-/** A load that was not repeated for this long says nothing any more. */
+/** A load that was not refreshed for this long is no longer reported. */
 const LOAD_LIFETIME_MILLISECONDS = 1500;
-/** Where a rank is holds for longer: reports of a sidecar may be lost. */
+/** Addresses of ranks stay valid for longer than loads, since reports may be lost. */
 const RECORD_LIFETIME_MILLISECONDS = 3000;
-/** Ages are told in steps; a relayed load within one step is the same one. */
+/** Ages are encoded in units of this; a relayed load within one unit is the same report. */
 const AGE_RESOLUTION_MILLISECONDS = 10;
 
 function keyOf({ group, rank }: { readonly group: string; readonly rank: number }): string {
--- a/packages/fleet/src/member-list.ts
+++ b/packages/fleet/src/member-list.ts
@@ -1,31 +1,31 @@
 /**
- * The entries that this instance knows of, and which of those it talks to have fallen silent.
- * A member is suspected by whoever sends to it without an answer; nobody is declared dead for
- * others, so a one-way cut between two instances misleads only these two.
+ * Membership and failure detection. An entry suspects a member that does not answer its own
+ * messages. Suspicion is never shared, so a one-way network failure between two instances affects
+ * only these two.
  */
 import type { InstanceName } from './message.js';
 
 export interface MemberList {
-  /** Takes note that an entry was heard directly. */
+  /** Records a message received from the entry itself. */
   onHeard(name: InstanceName): void;
-  /** Takes note that a delegate of the entry's own zone hears it. */
+  /** Records that a delegate of the entry's own zone hears it. */
   onConfirmed(name: InstanceName): void;
-  /** Takes note that another entry named it. */
+  /** Records that another entry listed it, without direct evidence. */
   onMentioned(name: InstanceName): void;
-  /** Takes note that an answer is expected from an entry. */
+  /** Records that a message that expects an answer was sent to the entry. */
   onContacted(instanceId: string): void;
-  /** Whether an entry was sent to and has not answered for too long. */
+  /** Whether the entry has left a message unanswered for longer than the suspicion timeout. */
   isSuspected(instanceId: string): boolean;
   find(instanceId: string): InstanceName | undefined;
-  /** All that are known; a new list whenever it changes. */
+  /** All known members; the same array until the list changes. */
   known(): readonly InstanceName[];
-  /** Those that were heard directly within the time. */
+  /** Members heard directly within the last `milliseconds`. */
   heardWithin(milliseconds: number): InstanceName[];
-  /** Those that a delegate of their zone vouched for within the time. */
+  /** Members that a delegate of their zone confirmed within the last `milliseconds`. */
   confirmedWithin(milliseconds: number): InstanceName[];
-  /** Those with evidence of any kind within the time. */
+  /** Members heard, confirmed or mentioned within the last `milliseconds`. */
   seenWithin(milliseconds: number): InstanceName[];
-  /** Drops the entries that nothing was learned of for long. Returns their names. */
+  /** Removes the members whose lifetime has expired, and returns them. */
   removeSilent(): InstanceName[];
 }
 
@@ -34,15 +34,15 @@
   heardAt: number;
   confirmedAt: number;
   mentionedAt: number;
-  /** When the first unanswered message went out. */
+  /** When the first unanswered message was sent. */
   unansweredSince: number | undefined;
 }
 
-/** Three digests of an entry that is no primary may be lost. */
+/** Tolerates the loss of three digests from an entry that is not a primary. */
 export const SUSPICION_TIMEOUT_MILLISECONDS = 1600;
 /**
- * Members count for this long after the last evidence: bounds that all entries share are divided
- * by their number, and one that is cut off still takes its share.
+ * Members count for this long after the last evidence of life. Limits shared by all entries are
+ * divided by their number, and a partitioned entry still uses its share.
  */
 const MEMBER_LIFETIME_MILLISECONDS = 30_000;
 
--- a/packages/fleet/src/pack-loads.ts
+++ b/packages/fleet/src/pack-loads.ts
@@ -1,6 +1,6 @@
 /**
- * Loads of many ranks in a few bytes each: a digest goes to every entry of a zone several times
- * a second, and tells all ranks of all groups.
+ * Compact encoding of rank loads. A digest with the loads of all ranks of all groups goes to every
+ * entry of a zone several times a second, so each rank takes only a few bytes.
  */
 export interface RankLoad {
   readonly group: string;
@@ -18,7 +18,10 @@
   readonly group: string;
   readonly epoch: number;
   readonly isOpen: boolean;
-  /** Base64 of four bytes a rank: distance to the rank before, running, waiting, age. */
+  /**
+   * Base64 of four bytes per rank: difference to the previous rank, running, waiting, and age in
+   * units of 10 ms. Running, waiting and age are capped at 255.
+   */
   readonly ranks: string;
 }
 
@@ -35,7 +38,7 @@
   let previousRank = -1;
   for (const load of [...loads].sort((left, right) => left.rank - right.rank)) {
     let distance = load.rank - previousRank;
-    // A distance that fills its byte only leads on; no load follows it.
+    // A record with the maximum distance only advances the rank and carries no load.
     for (; distance >= MAXIMUM_BYTE; distance -= MAXIMUM_BYTE) {
       bytes.push(MAXIMUM_BYTE, 0, 0, 0);
     }
--- a/packages/fleet/src/plan-delegates.ts
+++ b/packages/fleet/src/plan-delegates.ts
@@ -1,26 +1,26 @@
 /**
- * Which entries of an availability zone relay knowledge to the others. Each entry decides for
- * itself from the names it knows: rendezvous hashing makes most of them agree without a message,
- * and a wrong choice costs a message or a call to the store, never a promise. Pure.
+ * Chooses the delegates of an availability zone, and the entries that read the store. Each entry
+ * decides from the members it knows; rendezvous hashing makes most of them agree without messages.
+ * Disagreement costs an extra message or store call, but never correctness. Pure.
  */
 import { rendezvousOrder } from '@lapisbridge/routing';
 
 export interface DelegatesInput {
   readonly availabilityZone: string;
-  /** Entries of the zone, the deciding one included where it belongs there. */
+  /** Entries of the zone, including the deciding one if it belongs to the zone. */
   readonly instanceIds: readonly string[];
   /** Entries of the whole fleet, as far as known or assumed. */
   readonly fleetSize: number;
-  /** Whether an entry has stopped answering the one that decides. */
+  /** Whether an entry has stopped answering the deciding one. */
   isSuspected(instanceId: string): boolean;
 }
 
-/** Below this, every entry is told everything directly, which is faster and costs little. */
+/** In a smaller fleet every entry exchanges messages with all others: faster, and still cheap. */
 export const MINIMUM_ENTRIES_FOR_DELEGATION = 12;
-/** The second one covers for the first until its failure is noticed. */
+/** The second delegate covers for the first until its failure is detected. */
 const DELEGATES_PER_ZONE = 2;
 
-/** In order of preference: the first is the zone's primary. */
+/** Returns instance ids in order of preference; the first is the zone's primary. */
 export function planDelegates(input: DelegatesInput): readonly string[] {
   const { availabilityZone, instanceIds, fleetSize } = input;
   const delegates: string[] = [];
@@ -32,11 +32,11 @@
   return delegates;
 }
 
-/** Part of an entry in following the store's tables. */
+/** How an entry keeps its copies of the store's tables up to date. */
 export enum ReadingRole {
-  /** Follows them for the fleet. */
+  /** Reads the store on behalf of the fleet. */
   Reader = 'reader',
-  /** First of its zone, in a zone that has no reader. */
+  /** First delegate of a zone that has no reader. */
   Primary = 'primary',
   /** Second delegate of its zone. */
   Standby = 'standby',
@@ -48,14 +48,14 @@
   readonly availabilityZone: string;
   /** Delegates of the own zone, in order of preference. */
   readonly delegates: readonly string[];
-  /** Zones that have an entry which answers. */
+  /** Zones with at least one responding entry. */
   readonly zones: readonly string[];
   readonly isDelegating: boolean;
 }
 
-/** The second reader covers for the first until its reports have grown old. */
+/** The second reader covers for the first until the first's reports are stale. */
 const READER_ZONES = 2;
-/** Key under which zones are ranked for reading. */
+/** Rendezvous key that orders the zones for reading. */
 const READERS_KEY = 'readers';
 
 export function planReadingRole(input: ReadingRoleInput): ReadingRole {
--- a/packages/fleet/src/plan-duties.ts
+++ b/packages/fleet/src/plan-duties.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry does for others, given whom it knows. Pure.
+ * Derives an entry's roles (delegate, primary, reader) from the members it knows. Pure.
  */
 import type { InstanceName } from './message.js';
 import {
@@ -21,7 +21,7 @@
 
 export interface Duties {
   readonly isDelegating: boolean;
-  /** By zone; zones without an entry that answers are left out. */
+  /** Delegates by zone, in order of preference; zones without a responding entry are omitted. */
   readonly delegates: ReadonlyMap<string, readonly string[]>;
   readonly isDelegate: boolean;
   readonly isPrimary: boolean;
--- a/packages/fleet/src/published-rosters.ts
+++ b/packages/fleet/src/published-rosters.ts
@@ -1,6 +1,7 @@
 /**
- * The rosters that an entry gives others. Only names with first-hand evidence are vouched for:
- * otherwise two entries would keep the names of dead ones alive by repeating them to each other.
+ * Builds the rosters that an entry sends to others. Zone and fleet rosters list only entries with
+ * direct evidence of life; otherwise two entries could keep a dead one listed forever by repeating
+ * its name to each other.
  */
 import type { MemberList } from './member-list.js';
 import { RosterScope } from './message.js';
@@ -9,15 +10,15 @@
 import type { Roster } from './roster.js';
 
 export interface PublishedRosters {
-  /** Entries of the own zone that this one hears. */
+  /** Entries of the own zone that this entry hears directly. */
   zoneRoster(): Roster;
-  /** What a delegate vouches for: entries that it hears, and those that other zones vouch for. */
+  /** A delegate's roster: entries that it hears, and those that delegates of their zone confirm. */
   fleetRoster(): Roster;
-  /** Names that help a newcomer to find the delegates; they are not vouched for. */
+  /** All recently seen entries, confirmed or not, from which a new entry finds the delegates. */
   unconfirmedRoster(): Roster;
 }
 
-/** Evidence of a living entry is passed on for this long. */
+/** An entry is listed for this long after the last evidence that it is alive. */
 export const EVIDENCE_LIFETIME_MILLISECONDS = 3000;
 
 export function createPublishedRosters(self: InstanceName, members: MemberList): PublishedRosters {
--- a/packages/fleet/src/roster.ts
+++ b/packages/fleet/src/roster.ts
@@ -1,6 +1,6 @@
 /**
- * Rosters of entries: what an entry vouches for, and what others' rosters say. A roster travels
- * only when its hash has changed; a digest with a known hash repeats it.
+ * Rosters of entries, and the last roster received from each entry. A roster is sent only when its
+ * hash has changed; a digest with a known hash confirms the same entries again.
  */
 import { rendezvousWeight } from '@lapisbridge/routing';
 
@@ -14,7 +14,7 @@
   readonly entries: readonly InstanceName[];
 }
 
-/** Independent of the order of the names. */
+/** Hashes the entries to 32 bits, independently of their order. */
 export function hashNames(names: readonly InstanceName[]): number {
   let hash = 0;
   for (const { instanceId, host } of names) {
@@ -24,9 +24,9 @@
 }
 
 export interface ReceivedRosters {
-  /** Takes a roster of an entry. */
+  /** Stores an entry's roster and applies it to the member list. */
   onRoster(from: InstanceName, roster: Roster): void;
-  /** Repeats the known roster of an entry; false when this one is not known. */
+  /** Applies the stored roster again. Returns false if none with this scope and hash is stored. */
   onHash(from: InstanceName, scope: RosterScope, hash: number): boolean;
   remove(instanceId: string): void;
 }
@@ -38,7 +38,7 @@
     for (const name of entries) {
       switch (scope) {
         case RosterScope.Zone:
-          // Only a zone's own entries hear its members directly.
+          // A zone roster confirms only entries of the sender's own zone, which it hears directly.
           if (name.availabilityZone === from.availabilityZone) members.onConfirmed(name);
           break;
         case RosterScope.Fleet:
