--- a/packages/fleet/src/entry-fleet.ts
+++ b/packages/fleet/src/entry-fleet.ts
@@ -1,7 +1,7 @@
 /**
- * An entry's part in relaying knowledge: it finds the other entries, reports to the delegates of
- * its availability zone, and relays loads, counts and freshness while it is a delegate itself.
- * No sockets and no timers: messages go out through `send`, time passes through `tick`.
+ * The gossip state machine of an entry. It discovers other entries, exchanges digests with the
+ * delegates of its availability zone, and, while it is a delegate itself, relays loads, counts and
+ * freshness. It has no sockets or timers: the caller supplies `send` and calls `tick`.
  */
 import type { GroupProfile } from '@lapisbridge/group-leader';
 import type { JsonObject } from '@lapisbridge/json-call';
@@ -33,9 +33,9 @@
   seedHosts(): readonly string[];
   /** Hosts of backend servers that have a sidecar. */
   sidecars(): readonly SidecarAddress[];
-  /** Entries to reckon with, the known ones at least. */
+  /** Assumed number of entries in the fleet; at least the number of known ones. */
   fleetSize(): number;
-  /** Limits of the engines, by service. */
+  /** Expert placement limits of the engines, by service. */
   profiles(): Readonly<Record<string, GroupProfile>>;
   /** How fresh this entry's copies of the store's tables are. */
   freshness(): JsonObject;
@@ -43,10 +43,10 @@
   /** What this entry knows of backend servers' rate limits. */
   rateLimits(): readonly RelayedRateLimit[];
   onRateLimits(limits: readonly RelayedRateLimit[]): void;
-  /** Loads that are newer than those told before. */
+  /** Called with loads newer than those passed before. */
   onLoads(loads: readonly RankLoad[]): void;
   send(host: string, message: FleetMessage): void;
-  /** Asks for a call of `tick` before the next regular one. */
+  /** Requests a call of `tick` before the next regular one. */
   requestTick(): void;
   now(): number;
   /** Uniform in [0, 1). */
@@ -55,47 +55,48 @@
 
 export interface EntryFleet {
   receive(from: InstanceName, message: FleetMessage): void;
-  /** Sends what is due. Returns the milliseconds until it is to be called again. */
+  /** Sends due messages. Returns the milliseconds until the next regular call. */
   tick(): number;
-  /** Sends digests at once when others rely on this entry: it has news. */
+  /** Sends digests ahead of schedule after a change, if this entry is a delegate. */
   expediteDigests(): void;
-  /** Whether delegates relay knowledge, as in a large fleet. */
+  /** Whether the fleet is large enough for delegates to relay messages. */
   isDelegating(): boolean;
-  /** Whether this entry is a delegate; all are in a small fleet. */
+  /** Whether this entry is a delegate; in a small fleet every entry is. */
   isDelegate(): boolean;
-  /** This entry's part in following the store. */
+  /** How this entry keeps its copies of the store's tables up to date. */
   readingRole(): ReadingRole;
-  /** Instance ids of all known entries, this one included; a new list whenever it changes. */
+  /** Instance ids of all known entries and this one; the same array until the list changes. */
   entryIds(): readonly string[];
-  /** Hosts of entries that were seen lately. */
+  /** Hosts of entries with recent evidence of life. */
   liveHosts(): readonly string[];
 }
 
-/** Between two ticks of an entry that others rely on. */
+/** Tick interval of a delegate. */
 const TICK_INTERVAL_MILLISECONDS = 100;
-/** Between two digests of a zone's primary, and of any other entry. */
+/** Digest intervals of a zone's primary, and of any other entry. */
 const PRIMARY_DIGEST_INTERVAL_MILLISECONDS = 250;
 const DIGEST_INTERVAL_MILLISECONDS = 500;
 const DIGEST_INTERVAL_MILLISECONDS_PER_RANK = 3;
-/** Bursts of news are told together. */
+/** Changes in quick succession share one digest. */
 const MINIMUM_DIGEST_INTERVAL_MILLISECONDS = 30;
 const ANNOUNCEMENT_INTERVAL_MILLISECONDS = 1000;
 const SUMMARY_INTERVAL_MILLISECONDS = 300;
-/** Between two tries to reach suspected entries, and one more entry that may know others. */
+/** Interval at which suspected entries, and one entry that may know others, are contacted. */
 const PROBE_INTERVAL_MILLISECONDS = 1000;
-/** The same just after the start, when names are found fastest by asking the seeds again. */
+/** The same during startup, when repeated requests to the seeds find entries fastest. */
 const STARTUP_PROBE_INTERVAL_MILLISECONDS = 150;
 const STARTUP_MILLISECONDS = 1500;
-/** A sidecar whose zone's delegates have not found it for this long is answered by any entry. */
+/** Any entry answers a sidecar that its zone's delegates have not contacted for this long. */
 const ADOPT_AFTER_MILLISECONDS = 1200;
 /**
- * After this an entry that still finds itself a delegate announces itself: before, every entry of
- * a fleet that starts at once knows too few others, and sidecars would report to all of them.
+ * An entry announces itself as a delegate only this long after its start. When a whole fleet starts
+ * at once, entries know few others at first, too many consider themselves delegates, and sidecars
+ * would report to all of them.
  */
 const ANNOUNCE_AFTER_MILLISECONDS = 500;
-/** Between two requests for the roster of the same entry. */
+/** Minimum time between two requests for the same entry's roster. */
 const ROSTER_REQUEST_INTERVAL_MILLISECONDS = 200;
-/** Entries that asked for digests within this time get them. */
+/** An entry that expected an answer within this time is sent digests. */
 const DEPENDENT_LIFETIME_MILLISECONDS = 2000;
 
 export function createEntryFleet(options: EntryFleetOptions): EntryFleet {
@@ -107,19 +108,19 @@
   const growthSum = createGrowthSum(options.random);
   const leaders = createLeaderList();
   const digestSentAt = new Map<string, number>();
-  /** When entries that rely on this one were heard. */
+  /** When each entry that expects digests from this one was last heard. */
   const dependentHeardAt = new Map<string, number>();
   const rosterRequestedAt = new Map<string, number>();
   const summarySentAt = new Map<string, number>();
   const startedAt = now();
   let announcedAt = -Infinity;
   let probedAt = -Infinity;
-  /** When something happened that others must hear at once. */
+  /** When digests were last requested ahead of schedule. */
   let expeditedAt = -Infinity;
   let wasPrimary = false;
   let cachedEntryIds: readonly string[] = [self.instanceId];
   let cachedMembers: readonly InstanceName[] | undefined;
-  /** Planned at each tick: planning ranks every known entry. */
+  /** Computed once per tick, since planning ranks every known entry. */
   let planned: Duties | undefined;
 
   function entryIds(): readonly string[] {
@@ -154,13 +155,13 @@
     send(host, { kind: MessageKind.Roster, ...rosterFor(scope) });
   }
 
-  /** Loads for another entry: a primary tells its zone everything, and other zones its own ranks. */
+  /** Loads for another entry. A primary sends all to its own zone, its zone's to other zones. */
   function loadsFor(to: InstanceName): RankLoad[] {
     const { isDelegating, isPrimary } = duties();
     if (!isDelegating) return [];
     const isOwnZone = to.availabilityZone === self.availabilityZone;
     if (isPrimary) return isOwnZone ? loadTable.all() : loadTable.local();
-    // Sidecars that found no delegate in their own zone report here.
+    // Sidecars of other zones report here only if their zone has no delegate.
     return loadTable.direct((sidecar) => sidecar.availabilityZone !== self.availabilityZone);
   }
 
@@ -181,7 +182,7 @@
     });
   }
 
-  /** Entries whose digests this one relies on, and which therefore must answer. */
+  /** Ids of the entries whose digests this one needs, and which therefore must answer. */
   function requiredPeers(): Set<string> {
     const { isDelegating, isDelegate, delegates } = duties();
     const peers = new Set<string>();
@@ -201,7 +202,7 @@
     return recent;
   }
 
-  /** Digests to the own zone tell all loads: with more of them, they are further apart. */
+  /** Digests to the own zone contain all loads, so the interval grows with their number. */
   function digestIntervalMilliseconds(to: InstanceName): number {
     const { isDelegating, isPrimary } = duties();
     if (!isPrimary || !isDelegating) return DIGEST_INTERVAL_MILLISECONDS;
@@ -219,7 +220,7 @@
     if (expeditedAt >= sentAt && elapsedMilliseconds >= MINIMUM_DIGEST_INTERVAL_MILLISECONDS)
       return true;
     const intervalMilliseconds = digestIntervalMilliseconds(to);
-    // Timers fire late, never early: without slack each pause would grow by a tick.
+    // Timers fire late, never early; without slack each interval would grow by a tick.
     return elapsedMilliseconds >= intervalMilliseconds - TICK_INTERVAL_MILLISECONDS / 2;
   }
 
@@ -231,7 +232,7 @@
       const isRequiredPeer = peers.has(instanceId);
       if (isRequiredPeer) members.onContacted(instanceId);
       sendDigest(name, isRequiredPeer);
-      // An entry that relies on one that is no delegate lacks the names of those that are.
+      // An entry that expects digests from a non-delegate does not know the delegates.
       if (!isRequiredPeer && !duties().isDelegate) sendRoster(name.host, RosterScope.Fleet);
     }
   }
@@ -258,7 +259,7 @@
     }
   }
 
-  /** An entry to ask for names that this one lacks: a seed at first, later any. */
+  /** Picks a host to ask for unknown entries: a seed during startup, later any known entry. */
   function pickDiscoveryHost(): string | undefined {
     const isStarting = now() - startedAt < STARTUP_MILLISECONDS;
     const hosts = isStarting || members.known().length === 0 ? [...options.seedHosts()] : [];
@@ -267,8 +268,9 @@
   }
 
   /**
-   * Looks for entries that fell silent and may be back, and, while others rely on this entry, for
-   * those that it does not know: parts of a zone that started apart would stay apart.
+   * Contacts suspected entries, which may have recovered, and removes expired ones. A delegate also
+   * asks for entries that it does not know; otherwise parts of a zone that started separately would
+   * never find each other.
    */
   function probe(): void {
     probedAt = now();
@@ -310,7 +312,6 @@
     }
   }
 
-  /** Sends digests at once where others rely on this entry. */
   function expediteDigests(): void {
     if (!duties().isDelegate) return;
     expeditedAt = now();
@@ -319,7 +320,7 @@
 
   function handleLeader(group: string, host: string, fence: number): void {
     if (!leaders.onLeader({ group, host, fence })) return;
-    // A new leader can do nothing until it knows where the ranks are.
+    // A new leader cannot act until it knows the addresses of the ranks.
     summarySentAt.delete(group);
     expediteDigests();
   }
@@ -333,7 +334,7 @@
     if (growth !== undefined && state.isOpen) growthSum.add(state.group, growth);
     const { group, rank, epoch, isOpen, running, waiting } = state;
     options.onLoads([{ group, rank, epoch, isOpen, running, waiting, ageMilliseconds: 0 }]);
-    // In a small fleet every entry hears the sidecars itself.
+    // In a small fleet every entry receives the sidecars' reports directly.
     if (isGroupStateChanged && duties().isDelegating) expediteDigests();
   }
 
@@ -355,7 +356,7 @@
         });
       }
     }
-    // An entry that is no delegate tells only of sidecars that found none in their own zone.
+    // A non-delegate relays only loads of sidecars that found no delegate in their own zone.
     const isAdopted = roster === undefined && from.availabilityZone === self.availabilityZone;
     const { newer, isGroupStateChanged } = loadTable.onRelayed(
       unpackLoads(digest.loads),
@@ -408,7 +409,7 @@
         case MessageKind.Growth:
         case MessageKind.ReportQuestion:
         case MessageKind.ReportAnswer:
-          // For sidecars; an address that changed hands may still get some.
+          // Meant for sidecars; may still arrive at an address that a sidecar used before.
           return;
         default: {
           const unreachable: never = message;
--- a/packages/fleet/src/fleet.test.ts
+++ b/packages/fleet/src/fleet.test.ts
@@ -24,8 +24,8 @@
   return delegates;
 }
 
-it.each([0, 11])('a leader at rank %i tells its deputy where all ranks are', (rank) => {
-  // The deputy replaces a leader that stopped, and entries tell it so only after it leads.
+it.each([0, 11])('a leader at rank %i sends the addresses of all ranks to its deputy', (rank) => {
+  // The deputy replaces a stopped leader, and entries send it addresses only once it leads.
   const simulation = simulateSettled(SMALL);
   const leader = simulation.sidecars[rank];
   const deputy = simulation.sidecars[(rank + 1) % SMALL.sidecars];
@@ -59,7 +59,7 @@
     expect(countDatagrams(traffic) / 2).toBeLessThan(3000);
   });
 
-  it('tells every entry every load before it is 750 ms old', () => {
+  it('sends every load to every entry before it is 750 ms old', () => {
     for (const sidecar of simulation.sidecars) sidecar.running = 3;
     simulation.run(SECOND);
     for (const { loads } of simulation.entries) {
@@ -71,8 +71,8 @@
     }
   });
 
-  it('tells every entry within 150 ms that the group is broken', () => {
-    // Guards against callers sent for a second to a group that stands still.
+  it('notifies every entry within 150 ms that the group is broken', () => {
+    // Guards against sending callers to a stopped group for a second.
     const [first] = simulation.sidecars;
     if (first === undefined) throw new Error('no sidecar');
     first.isOpen = false;
@@ -100,7 +100,7 @@
   }
 
   it('is at most three times that in a group of a dozen ranks', () => {
-    // Guards against a small instance that does nothing but read in a large group.
+    // Guards against a small instance spending all its time on reading in a large group.
     const few = measurePeak(SMALL).datagrams;
     expect(measurePeak({ ...LARGE, entries: 39, zones: 3, sidecars: 63 }).datagrams).toBeLessThan(
       3 * few,
@@ -121,7 +121,7 @@
   it.each([
     ['a small fleet', SMALL],
     ['a large fleet', LARGE],
-  ])('is known to every entry a second after one has heard of it: %s', (_what, options) => {
+  ])('is known to every entry within a second after one learns it: %s', (_what, options) => {
     const simulation = simulateSettled(options);
     const hears = (index: number, requestsPerSecond: number | undefined): void => {
       const { rateLimits, fleet } = simulation.entries[index] ?? {};
@@ -138,8 +138,8 @@
 });
 
 describe('when delegates fail', () => {
-  it('the next ones take over, and loads are told on', () => {
-    // Guards against a zone that chooses servers by loads from before its delegates died.
+  it('the next delegates take over and relay loads', () => {
+    // Guards against a zone that chooses servers by loads from before its delegates failed.
     const simulation = simulateSettled(LARGE);
     const killed = delegatesOf(simulation);
     for (const instanceId of killed) simulation.kill(instanceId);
@@ -153,7 +153,7 @@
   });
 
   it('a zone without entries reports to another zone', () => {
-    // Guards against servers that look idle or stuck because nobody is left in their zone to ask.
+    // Guards against servers that look idle or stuck because their zone has no entry left.
     const simulation = simulateSettled(LARGE);
     for (const { name } of simulation.entries) {
       if (name.availabilityZone === 'zone-2') simulation.kill(name.instanceId);
@@ -167,13 +167,13 @@
     }
   });
 
-  it('a zone that is cut off goes on by itself, and joins again', () => {
+  it('a partitioned zone keeps working and rejoins the fleet', () => {
     const simulation = simulateSettled(LARGE);
     const isInZone = ({ availabilityZone }: InstanceName): boolean => availabilityZone === 'zone-1';
     simulation.partition((from, to) => isInZone(from) !== isInZone(to));
     simulation.run(5 * SECOND);
     const inZone = simulation.entries.filter(({ name }) => isInZone(name));
-    // Delegates read the store once no report from elsewhere confirms their copy.
+    // Delegates read the store when no report from another zone confirms their copy.
     expect(inZone.filter(({ fleet }) => fleet.isDelegate())).toHaveLength(2);
     for (const sidecar of simulation.sidecars) sidecar.running = 4;
     simulation.run(SECOND);
@@ -204,7 +204,7 @@
   );
 
   it('sends no more than 150 datagrams an instance in its first two seconds', () => {
-    // Guards against the exchange of all names between all instances when all lost power.
+    // Guards against all instances exchanging full rosters with each other after a power loss.
     const simulation = simulateFleet({ ...LARGE, startWithinMilliseconds: 50 });
     const traffic = simulation.countTraffic();
     simulation.run(2 * SECOND);
@@ -212,8 +212,8 @@
   });
 });
 
-it('starts a small fleet within half a second, from power loss to a leader that knows all', () => {
-  // Guards against ranks that wait for a second until an entry listens, while streams run on the first map.
+it('starts a small fleet within half a second, from power loss to a leader that knows all ranks', () => {
+  // Guards against ranks that wait a second for a listener while streams run on the first map.
   const simulation = simulateFleet({ ...SMALL, startWithinMilliseconds: 50 });
   const [leader] = simulation.sidecars;
   if (leader === undefined) throw new Error('no sidecar');
@@ -224,8 +224,8 @@
 });
 
 describe('a group’s leader', () => {
-  it('learns where all ranks are, is heard by them, and gets the sum of their counts', () => {
-    // Guards against counts that fill the leader's link: 129 ranks × 4,128 counts.
+  it('learns the addresses of all ranks, reaches them, and receives the sum of their counts', () => {
+    // Guards against counts that saturate the leader's link: 129 ranks × 4,128 counts.
     const simulation = simulateSettled(LARGE);
     const [leader, ...others] = simulation.sidecars;
     if (leader === undefined) throw new Error('no sidecar');
@@ -245,7 +245,7 @@
     expect(total).toBeCloseTo(10 * others.length, 0);
   });
 
-  it('in a small group gets counts straight from the ranks', () => {
+  it('receives counts directly from the ranks in a small group', () => {
     const simulation = simulateSettled(SMALL);
     const [leader, second] = simulation.sidecars;
     if (leader === undefined || second === undefined) throw new Error('no sidecars');
--- a/packages/fleet/src/message.test.ts
+++ b/packages/fleet/src/message.test.ts
@@ -85,7 +85,7 @@
   expect(decodeDatagram(bytes)).toEqual({ from: SIDECAR, sequence: 1, message });
 });
 
-it('drops bytes that are no datagram of this system', () => {
+it('drops bytes that are not a valid datagram', () => {
   const texts = ['', '{}', 'null', '{"from":["a","b","entry","z"],"sequence":1,"message":{}}'];
   for (const text of texts) expect(decodeDatagram(Buffer.from(text))).toBeUndefined();
 });
@@ -152,15 +152,16 @@
   return heard;
 }
 
-it('drops a datagram that an earlier one has overtaken', async () => {
-  // Guards against a load from before that sends callers to a server that is full by now.
+it('drops a datagram that arrives after a later one', async () => {
+  // Guards against an outdated load that sends callers to a server that has since filled up.
   const heard = await listen();
   await heard.send(100, 99, 101);
   expect(heard.taken).toEqual([100, 101]);
 });
 
-it('hears an instance again that restarted with its clock set back', async () => {
-  // Guards against an hour of silence when a new process numbers from an earlier time of day.
+it('accepts datagrams of an instance that restarted with its clock set back', async () => {
+  // Guards against an hour of dropped datagrams when a new process starts at a lower sequence
+  // number, which is taken from the clock.
   const heard = await listen();
   await heard.send(3_600_000);
   heard.now += 1000;
--- a/packages/fleet/src/message.ts
+++ b/packages/fleet/src/message.ts
@@ -1,5 +1,5 @@
 /**
- * The datagrams that instances send each other, and how they are read back. Each kind has one
+ * The messages between instances, and their encoding as JSON datagrams. Each kind has one
  * sender role and one purpose; a datagram that does not decode is dropped.
  */
 import { isObject, listOf, numberOf, objectsOf, parseObject, textOf } from '@lapisbridge/json-call';
@@ -23,31 +23,31 @@
 }
 
 export enum MessageKind {
-  /** Asks an entry for its roster, or for an announcement when a sidecar sends it. */
+  /** Requests an entry's roster, or its announcement when sent by a sidecar. */
   Hello = 'hello',
-  /** Names of entries. */
+  /** Lists entries. */
   Roster = 'roster',
-  /** An entry's periodic word to another entry. */
+  /** Periodic state update from an entry to another entry. */
   Digest = 'digest',
-  /** An entry asks a sidecar to report to it. */
+  /** An entry's request that a sidecar report to it. */
   Announcement = 'announcement',
   /** A sidecar's report to an entry. */
   RankState = 'rankState',
-  /** A zone's ranks and the growth of their counts, for the leader of their group. */
+  /** A zone's ranks and the sum of their count increments, for the leader of their group. */
   ZoneSummary = 'zoneSummary',
-  /** A group's leader to the other ranks. */
+  /** Heartbeat of a group's leader to the other ranks. */
   LeaderHeartbeat = 'leaderHeartbeat',
-  /** A rank's counts straight to the leader. */
+  /** A rank's count increments, sent directly to the leader. */
   Growth = 'growth',
   ReportQuestion = 'reportQuestion',
   ReportAnswer = 'reportAnswer',
 }
 
-/** Which entries a roster names. */
+/** Which entries a roster lists. */
 export enum RosterScope {
-  /** Those of the sender's availability zone that it hears itself. */
+  /** Entries of the sender's availability zone that it hears directly. */
   Zone = 'zone',
-  /** All that the sender knows. */
+  /** Entries of all zones. */
   Fleet = 'fleet',
 }
 
@@ -58,16 +58,16 @@
   readonly fence: number;
 }
 
-/** What a backend server states of the requests that it takes from all entries. */
+/** A backend server's stated limit on the requests from all entries together. */
 export interface RelayedRateLimit {
   readonly instanceId: string;
-  /** Undefined where the server has no limit any more. */
+  /** Undefined if the server no longer has a limit. */
   readonly requestsPerSecond: number | undefined;
-  /** Since the answer that stated it. */
+  /** Time since the response that stated the limit. */
   readonly ageMilliseconds: number;
 }
 
-/** What an entry needs to know of a rank. */
+/** State of a rank, as reported to entries. */
 export interface RankState {
   readonly group: string;
   readonly rank: number;
@@ -75,14 +75,14 @@
   readonly isOpen: boolean;
   readonly running: number;
   readonly waiting: number;
-  /** How much slower than usual the rank is; 1 when sound. */
+  /** Slowdown factor of the rank; 1 at normal speed. */
   readonly pace: number;
-  /** Whether an order to hold or to switch stands at the rank. */
+  /** Whether the rank has a pending order to hold or to switch. */
   readonly hasPendingOrder: boolean;
   readonly backendServerPort: number;
 }
 
-/** A rank as a zone's summary lists it. */
+/** A rank in a zone summary. */
 export interface SummarizedRank {
   readonly rank: number;
   readonly host: string;
@@ -95,9 +95,9 @@
   | {
       readonly kind: MessageKind.Hello;
       readonly scope: RosterScope;
-      /** Hash of the names that the sender knows; the same names need no answer. */
+      /** Hash of the entries that the sender knows; no answer is needed if it matches. */
       readonly knownHash: number | undefined;
-      /** How long a sidecar has waited for an entry to announce itself. */
+      /** How long a sidecar has been without an announcement from an entry. */
       readonly waitedMilliseconds: number;
     }
   | {
@@ -108,21 +108,21 @@
     }
   | {
       readonly kind: MessageKind.Digest;
-      /** Whether the sender relies on digests of the receiver. */
+      /** Whether the sender needs digests from the receiver. */
       readonly expectsAnswer: boolean;
-      /** Scope and hash of the sender's roster; undefined from an entry that is no delegate. */
+      /** Scope and hash of the sender's roster; undefined from a non-delegate. */
       readonly roster: { readonly scope: RosterScope; readonly hash: number } | undefined;
       readonly loads: readonly LoadBucket[];
       readonly leaders: readonly LeaderAddress[];
-      /** How fresh the sender's copies of the store's tables are; read by the entry program. */
+      /** Freshness of the sender's copies of the store's tables; read by the entry program. */
       readonly freshness: JsonObject;
       readonly rateLimits: readonly RelayedRateLimit[];
     }
   | {
       readonly kind: MessageKind.Announcement;
-      /** Wants every report, and not only now and then one in case the primary fails. */
+      /** Whether to send every report; a standby gets only some, in case the primary fails. */
       readonly wantsEveryReport: boolean;
-      /** Takes the growth of counts on its way to the leader. */
+      /** Whether the sender relays count increments to the leader. */
       readonly isPrimary: boolean;
       readonly profiles: Readonly<Record<string, GroupProfile>>;
     }
@@ -143,7 +143,7 @@
       readonly kind: MessageKind.LeaderHeartbeat;
       readonly group: string;
       readonly fence: number;
-      /** Whether the leader has seen the group with no hold and nothing armed. */
+      /** Whether the leader has seen the group with no hold in force and no switch armed. */
       readonly isSettled: boolean;
     }
   | {
@@ -160,7 +160,7 @@
 
 export interface Datagram {
   readonly from: InstanceName;
-  /** Grows within one life of the sender. */
+  /** Increases while the sending process runs. */
   readonly sequence: number;
   readonly message: FleetMessage;
 }
@@ -342,7 +342,7 @@
   if (numberOf(report, 'rank') === undefined || textOf(report, 'group') === undefined) {
     return undefined;
   }
-  // Written by a sidecar of this system from a checked report.
+  // The sending sidecar has already validated the report.
   return { kind: MessageKind.ReportAnswer, question, report: report as unknown as RankReport };
 }
 
@@ -385,7 +385,7 @@
   }
 }
 
-/** Names travel as short lists: rosters and summaries hold dozens of them. */
+/** Instances, rate limits and ranks are encoded as arrays, since a message may hold dozens. */
 function encodeMessage(message: FleetMessage): unknown {
   if (message.kind === MessageKind.Roster) {
     return { ...message, entries: message.entries.map(encodeName) };
@@ -410,7 +410,7 @@
   );
 }
 
-/** Undefined for bytes that are no datagram of this system. */
+/** Returns undefined for bytes that are not a valid datagram. */
 export function decodeDatagram(bytes: Buffer): Datagram | undefined {
   const value = parseObject(bytes);
   if (value === undefined || !isObject(value.message)) return undefined;
--- a/packages/fleet/src/sidecar-fleet.ts
+++ b/packages/fleet/src/sidecar-fleet.ts
@@ -1,7 +1,7 @@
 /**
- * A sidecar's part in relaying knowledge: it reports to the entries that ask for it, sends the
- * growth of its counts towards the group's leader, and, while it leads, reaches the other ranks.
- * No sockets and no timers: messages go out through `send`, time passes through `tick`.
+ * The gossip state machine of a sidecar. It reports to the entries that announced themselves, sends
+ * its count increments towards the group's leader, and, while it leads, sends heartbeats to the
+ * other ranks. It has no sockets or timers: the caller supplies `send` and calls `tick`.
  */
 import type {
   GroupProfile,
@@ -16,19 +16,19 @@
 
 export interface SidecarFleetOptions {
   readonly self: InstanceName;
-  /** Where sidecars and entries take calls of each other. */
+  /** Port on which sidecars and entries accept calls from each other. */
   readonly sidecarPort: number;
   seedHosts(): readonly string[];
-  /** State of the rank beside this sidecar; undefined while its engine does not answer. */
+  /** State of this sidecar's rank; undefined while its engine does not answer. */
   state(): RankState | undefined;
   pace(): TellingPace;
   /** Fencing number while this sidecar leads. */
   fence(): number | undefined;
-  /** Whether this leader has seen its group with no hold and nothing armed. */
+  /** Whether this leader has seen its group with no hold in force and no switch armed. */
   isSettled(): boolean;
   onProfiles(profiles: Readonly<Record<string, GroupProfile>>): void;
   onLeader(fence: number, isSettled: boolean): void;
-  /** Growth of other ranks' counts, for a leader. */
+  /** Called on a leader with the count increments of other ranks. */
   onGrowth(growth: PackedGrowth): void;
   onQuestion(from: InstanceName, question: number): void;
   onAnswer(question: number, report: RankReport): void;
@@ -38,18 +38,18 @@
 
 export interface SidecarFleet {
   receive(from: InstanceName, message: FleetMessage): void;
-  /** Sends what is due. Returns the milliseconds until it is to be called again. */
+  /** Sends due messages. Returns the milliseconds until the next call. */
   tick(): number;
-  /** Reports to all entries that listen: the group was lost or is back, or a leader is new. */
+  /** Reports to all listeners at once, as when the group opens or breaks or its leader changes. */
   reportNow(): void;
-  /** Sends the growth of this rank's counts towards the leader. */
+  /** Sends this rank's count increments towards the leader. */
   sendGrowth(growth: PackedGrowth): void;
-  /** Asks the sidecar at a host for a fresh report. */
+  /** Requests a fresh report from the sidecar at a host. */
   requestReport(host: string, question: number): void;
   answerReportRequest(host: string, question: number, report: RankReport): void;
-  /** Where the other ranks are, by rank. */
+  /** Addresses of the known ranks, by rank. */
   targets(): ReadonlyMap<number, RankTarget>;
-  /** What is known of the other ranks, by rank. */
+  /** Summaries of the known ranks, by rank. */
   ranks(): ReadonlyMap<number, SummarizedRank>;
 }
 
@@ -60,17 +60,17 @@
   readonly announcedAt: number;
 }
 
-/** Between two ticks of a leader, and of a rank whose reports are close together. */
+/** Tick interval of a leader, and of a rank whose growth is not relayed. */
 const TICK_INTERVAL_MILLISECONDS = 80;
-/** Timers fire late, never early: without slack each pause would grow by a tick. */
+/** Timers fire late, never early; without slack each interval would grow by a tick. */
 const TIMER_SLACK_MILLISECONDS = TICK_INTERVAL_MILLISECONDS / 2;
-/** An entry that has not repeated its announcement for this long is not reported to. */
+/** An entry that has not repeated its announcement for this long gets no more reports. */
 const LISTENER_LIFETIME_MILLISECONDS = 2500;
-/** Between two calls for an entry while none has announced itself. */
+/** Interval of requests to the seeds while no entry has announced itself. */
 const HELLO_INTERVAL_MILLISECONDS = 300;
-/** Between two tellings of where the ranks are to a leader's deputy. */
+/** Interval at which a leader sends the addresses of all ranks to its deputy. */
 const DIRECTORY_INTERVAL_MILLISECONDS = 1000;
-/** A stand-by delegate gets one of so many reports. */
+/** A standby delegate gets one in this many reports. */
 const STANDBY_REPORT_DIVISOR = 3;
 
 export function createSidecarFleet(options: SidecarFleetOptions): SidecarFleet {
@@ -81,14 +81,14 @@
   /** Host of the entry whose summary named the rank last. */
   const entryHostByRank = new Map<number, string>();
   let helloAt = -Infinity;
-  /** Since when no entry has listened. */
+  /** Start of the current period without listeners. */
   let withoutListenerSince = now();
   let heartbeatAt = -Infinity;
   let directoryAt = -Infinity;
   let leaderHost: string | undefined;
   let highestFence = 0;
 
-  /** Entries whose announcement has not lapsed. */
+  /** Returns the listeners whose announcement has not expired, and removes the others. */
   function activeListeners(): Listener[] {
     const active: Listener[] = [];
     for (const [instanceId, listener] of listeners) {
@@ -159,8 +159,8 @@
   }
 
   /**
-   * The rank at which this leader holds its group replaces it first, and has to reach all ranks at
-   * once then: it cannot wait until entries have heard of it and tell it where they are.
+   * The deputy, the next rank, is the first to replace this leader. It must then reach all ranks at
+   * once, and cannot wait until entries learn of it and send it their addresses.
    */
   function sendDirectoryToDeputy({ group, rank }: RankState): void {
     if (now() - directoryAt < DIRECTORY_INTERVAL_MILLISECONDS) return;
@@ -176,7 +176,7 @@
     });
   }
 
-  /** The own zone's primary, or another zone's while there is none. */
+  /** The own zone's primary, or another zone's if the own zone has none. */
   function findPrimary(): Listener | undefined {
     let found: Listener | undefined;
     for (const listener of activeListeners()) {
@@ -235,7 +235,7 @@
         case MessageKind.Roster:
         case MessageKind.Digest:
         case MessageKind.RankState:
-          // For entries; an address that changed hands may still get some.
+          // Meant for entries; may still arrive at an address that an entry used before.
           return;
         default: {
           const unreachable: never = message;
--- a/packages/fleet/src/simulated-fleet.ts
+++ b/packages/fleet/src/simulated-fleet.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet in simulated time for tests: the real state machines of entries and sidecars, joined by
- * a network that delays, loses and cuts. The same seed plays the same way.
+ * A fleet in simulated time for tests: the real state machines of entries and sidecars, connected
+ * by a simulated network with delay, loss and partitions. Runs are deterministic for a seed.
  */
 import { planPace } from '@lapisbridge/group-leader';
 import type { PackedGrowth } from '@lapisbridge/group-leader';
@@ -21,13 +21,13 @@
   readonly zones: number;
   readonly entries: number;
   readonly sidecars: number;
-  /** Share of datagrams that are lost. */
+  /** Fraction of datagrams that are lost, from 0 to 1. */
   readonly lossRatio?: number;
-  /** Instances start within this time of each other. */
+  /** Instances start at random times within this window. */
   readonly startWithinMilliseconds?: number;
-  /** Time of a datagram on its way. */
+  /** Network delay of a datagram. */
   readonly delayMilliseconds?: number;
-  /** What an entry tells of its copies of the store's tables. */
+  /** Freshness of an entry's copies of the store's tables. */
   freshness?(entry: InstanceName): JsonObject;
   onFreshness?(entry: InstanceName, from: InstanceName, freshness: JsonObject): void;
 }
@@ -35,11 +35,11 @@
 export interface SimulatedEntry {
   readonly name: InstanceName;
   readonly fleet: EntryFleet;
-  /** When each rank's load was last told, and how old it was then, by rank. */
+  /** Last received load of each rank and when it was received, by rank. */
   readonly loads: Map<number, { readonly load: RankLoad; readonly at: number }>;
-  /** Reports of other entries, by what they say of the store. */
+  /** Freshness reports received from other entries. */
   readonly freshness: { readonly from: string; readonly at: number }[];
-  /** Rate limits and when they were stated, by backend server. */
+  /** Rate limits and when they were stated, by the backend server's instance id. */
   readonly rateLimits: Map<string, SimulatedRateLimit>;
 }
 
@@ -55,7 +55,7 @@
   running: number;
   isOpen: boolean;
   fence: number | undefined;
-  /** Growth that reached this sidecar as a leader. */
+  /** Count increments received as a leader. */
   readonly growths: PackedGrowth[];
   latestLeaderFence: number;
 }
@@ -71,14 +71,14 @@
   readonly sidecars: readonly SimulatedSidecar[];
   now(): number;
   run(milliseconds: number): void;
-  /** Stops an instance without a word. */
+  /** Stops an instance without notifying others. */
   kill(instanceId: string): void;
-  /** Lets an instance stand still: what reaches it waits until it goes on. */
+  /** Suspends an instance; datagrams sent to it are delivered when it resumes. */
   pause(instanceId: string): void;
   resume(instanceId: string): void;
-  /** Drops what goes from one instance to the other where the filter says so. */
+  /** Drops datagrams between two instances for which the predicate returns true. */
   partition(isPartitioned: (from: InstanceName, to: InstanceName) => boolean): void;
-  /** Counts the traffic from now on. */
+  /** Resets the traffic counters, and returns live counts. */
   countTraffic(): Traffic;
 }
 
@@ -86,7 +86,7 @@
 const BACKEND_SERVER_PORT = 80;
 const SIDECAR_PORT = 90;
 const DEFAULT_DELAY_MILLISECONDS = 1;
-/** What is relayed grows older by this at most on its way. */
+/** A relayed value gains at most this much age in transit. */
 const RELAY_AGE_TOLERANCE_MILLISECONDS = 50;
 
 interface ScheduledEvent {
@@ -95,7 +95,7 @@
   readonly run: () => void;
 }
 
-/** Runs callbacks in the order of their times. */
+/** Runs callbacks in order of their scheduled times. */
 function createTimeline(): {
   now(): number;
   schedule(ms: number, run: () => void): void;
@@ -141,7 +141,7 @@
   const timeline = createTimeline();
   const byHost = new Map<string, SimulatedInstance>();
   const dead = new Set<string>();
-  /** What paused instances do once they go on. */
+  /** Callbacks deferred until a paused instance resumes, by instance id. */
   const paused = new Map<string, (() => void)[]>();
   const entries: SimulatedEntry[] = [];
   const sidecars: SimulatedSidecar[] = [];
@@ -333,7 +333,7 @@
   };
 }
 
-/** How often `MessageKind` went out, in total. */
+/** Total number of datagrams sent, of all message kinds. */
 export function countDatagrams(traffic: Traffic): number {
   let total = 0;
   for (const kind of Object.values(MessageKind)) total += traffic.datagrams.get(kind) ?? 0;
