--- a/packages/direct-entry/src/catalog-sync-simulation.ts
+++ b/packages/direct-entry/src/catalog-sync-simulation.ts
@@ -7,8 +7,8 @@
 
 import { createCatalog, decodeCopy, FeedKind, TransactionKind } from '@lapisbridge/catalog';
 import type { Catalog, Feed, Store, StoreAnswer, StoreRow } from '@lapisbridge/catalog';
-import { playFleet } from '@lapisbridge/fleet';
-import type { InstanceName, PlayedEntry, PlayedFleet, ReadingRole } from '@lapisbridge/fleet';
+import { simulateFleet } from '@lapisbridge/fleet';
+import type { InstanceName, SimulatedEntry, SimulatedFleet, ReadingRole } from '@lapisbridge/fleet';
 import { numberOf, parseObject, textOf } from '@lapisbridge/json-call';
 import { createRandom } from '@lapisbridge/kernel';
 import { createSilentLogger } from '@lapisbridge/logger';
@@ -32,11 +32,11 @@
 
 /** A running simulation and the faults that tests inject. */
 export interface CatalogSyncSimulation {
-  readonly fleet: PlayedFleet;
+  readonly fleet: SimulatedFleet;
   now(): number;
   /** Advances the simulated time. */
   run(milliseconds: number): Promise<void>;
-  entriesWithRole(role: ReadingRole): readonly PlayedEntry[];
+  entriesWithRole(role: ReadingRole): readonly SimulatedEntry[];
   /** Makes the store refuse every call of an entry. */
   refuseStoreCalls(instanceId: string): void;
   pause(instanceId: string): void;
@@ -110,7 +110,7 @@
   let changedAt = 0;
   let onChange: (() => void)[] = [];
 
-  const fleet = playFleet({
+  const fleet = simulateFleet({
     seed: options.seed,
     zones: options.zones,
     entries: options.entries,
@@ -126,7 +126,7 @@
     const zones = [from.availabilityZone, to.availabilityZone];
     return zones[0] !== zones[1] && cutZone !== undefined && zones.includes(cutZone);
   }
-  fleet.cut(isCut);
+  fleet.partition(isCut);
 
   function rowsOf(table: string): StoreRow[] {
     if (table !== OPERATORS) return [];
@@ -254,10 +254,10 @@
         configuration: options.configurationBoundMilliseconds,
         draining: options.drainingBoundMilliseconds,
       }),
-      livePeerHosts: () => part.livingHosts(),
+      livePeerHosts: () => part.liveHosts(),
       isDelegating: () => part.isDelegating(),
       role: () => part.readingRole(),
-      onFreshnessChange: () => part.onNews(),
+      onFreshnessChange: () => part.expediteDigests(),
     });
     catalogSyncs.set(name.instanceId, catalogSync);
   }
--- a/packages/direct-entry/src/start-entry.ts
+++ b/packages/direct-entry/src/start-entry.ts
@@ -89,7 +89,7 @@
   const rateLimits = createServerRateLimits({
     logger,
     entries: sendingEntries,
-    onChange: () => fleet.onNews(),
+    onChange: () => fleet.expediteDigests(),
     now: monotonicClock,
   });
   const backoffs = createServerBackoffs(monotonicClock, logger);
@@ -124,10 +124,10 @@
       configuration: life.settings().configurationBoundMilliseconds,
       draining: life.settings().drainingBoundMilliseconds,
     }),
-    livePeerHosts: () => fleet.livingHosts(),
+    livePeerHosts: () => fleet.liveHosts(),
     isDelegating: () => fleet.isDelegating(),
     role: () => fleet.readingRole(),
-    onFreshnessChange: () => fleet.onNews(),
+    onFreshnessChange: () => fleet.expediteDigests(),
   });
 
   const entries = (): number => sendingEntries().count;
--- a/packages/direct-entry/src/start-fleet.ts
+++ b/packages/direct-entry/src/start-fleet.ts
@@ -131,7 +131,7 @@
     onRateLimits: (statements) => rateLimits.onPeerStatements(statements),
     onLoads: applyLoads,
     send: (to, message) => link.send(to, message),
-    wake: scheduleTick,
+    requestTick: scheduleTick,
     now: monotonicClock,
     random,
   });
--- a/packages/fleet/src/datagram-link.ts
+++ b/packages/fleet/src/datagram-link.ts
@@ -1,5 +1,6 @@
 /**
- * The UDP socket of one instance: numbers what goes out, and drops what arrives late or twice.
+ * The UDP socket of one instance. Numbers outgoing datagrams, and drops incoming ones that are
+ * duplicated or out of order.
  */
 import { createSocket } from 'node:dgram';
 
@@ -12,7 +13,7 @@
   start(): Promise<void>;
   stop(): void;
   send(host: string, message: FleetMessage): void;
-  /** Datagrams and bytes sent since the start, by kind of message. */
+  /** Datagrams and bytes sent since the process started, by message kind. */
   sent(): ReadonlyMap<string, SentCount>;
 }
 
@@ -29,33 +30,36 @@
   now(): number;
 }
 
-interface Sender {
+interface SenderState {
   sequence: number;
-  heardAt: number;
+  receivedAt: number;
 }
 
-/** A sender that was silent for this long may be a new process, which numbers anew. */
-const RESTART_MILLISECONDS = 700;
-/** Senders to remember: more than any instance talks to. */
-const MOST_SENDERS = 4096;
+/**
+ * After this much silence a sender may have restarted with a lower sequence number, so any number
+ * is accepted.
+ */
+const SEQUENCE_RESET_MILLISECONDS = 700;
+/** Bounds the memory for senders; no instance talks to as many. */
+const MAXIMUM_SENDERS = 4096;
 
 export function createDatagramLink(options: DatagramLinkOptions): DatagramLink {
   const { self, port, logger, now } = options;
   const socket = createSocket('udp4');
-  const senders = new Map<string, Sender>();
+  const senders = new Map<string, SenderState>();
   const sent = new Map<string, SentCount>();
   let sequence = Date.now();
 
-  /** False for a datagram that a later one of the same process has overtaken. */
+  /** Returns false for a duplicate, and for a datagram that arrives after a later one. */
   function isInOrder(from: InstanceName, received: number): boolean {
     const known = senders.get(from.instanceId);
     const isLate =
       known !== undefined &&
-      now() - known.heardAt < RESTART_MILLISECONDS &&
+      now() - known.receivedAt < SEQUENCE_RESET_MILLISECONDS &&
       received <= known.sequence;
     if (isLate) return false;
-    if (senders.size >= MOST_SENDERS) senders.clear();
-    senders.set(from.instanceId, { sequence: received, heardAt: now() });
+    if (senders.size >= MAXIMUM_SENDERS) senders.clear();
+    senders.set(from.instanceId, { sequence: received, receivedAt: now() });
     return true;
   }
 
--- a/packages/fleet/src/entry-fleet.ts
+++ b/packages/fleet/src/entry-fleet.ts
@@ -1,16 +1,16 @@
 /**
- * An entry's part in relaying knowledge: it finds the other entries, reports to the delegates of
- * its availability zone, and relays loads, counts and freshness while it is a delegate itself.
- * No sockets and no timers: messages go out through `send`, time passes through `tick`.
+ * The gossip state machine of an entry. It discovers other entries, exchanges digests with the
+ * delegates of its availability zone, and, while it is a delegate itself, relays loads, counts and
+ * freshness. It has no sockets or timers: the caller supplies `send` and calls `tick`.
  */
 import type { GroupProfile } from '@lapisbridge/group-leader';
 import type { JsonObject } from '@lapisbridge/json-call';
 import type { Logger } from '@lapisbridge/logger';
 
-import { createAuthoredRosters, VOUCH_MILLISECONDS } from './authored-rosters.js';
+import { createPublishedRosters, EVIDENCE_LIFETIME_MILLISECONDS } from './published-rosters.js';
 import { createGrowthSum } from './growth-sum.js';
 import { createLeaderList } from './leader-list.js';
-import { createLoadBoard } from './load-board.js';
+import { createLoadTable } from './load-table.js';
 import { createMemberList } from './member-list.js';
 import { InstanceRole, MessageKind, RosterScope } from './message.js';
 import type { FleetMessage, InstanceName, RelayedRateLimit } from './message.js';
@@ -19,7 +19,7 @@
 import type { ReadingRole } from './plan-delegates.js';
 import { planDuties } from './plan-duties.js';
 import type { Duties } from './plan-duties.js';
-import { createHeardRosters } from './roster.js';
+import { createReceivedRosters } from './roster.js';
 import type { Roster } from './roster.js';
 
 export interface SidecarAddress {
@@ -33,9 +33,9 @@
   seedHosts(): readonly string[];
   /** Hosts of backend servers that have a sidecar. */
   sidecars(): readonly SidecarAddress[];
-  /** Entries to reckon with, the known ones at least. */
+  /** Assumed number of entries in the fleet; at least the number of known ones. */
   fleetSize(): number;
-  /** Limits of the engines, by service. */
+  /** Expert placement limits of the engines, by service. */
   profiles(): Readonly<Record<string, GroupProfile>>;
   /** How fresh this entry's copies of the store's tables are. */
   freshness(): JsonObject;
@@ -43,11 +43,11 @@
   /** What this entry knows of backend servers' rate limits. */
   rateLimits(): readonly RelayedRateLimit[];
   onRateLimits(limits: readonly RelayedRateLimit[]): void;
-  /** Loads that are newer than those told before. */
+  /** Called with loads newer than those passed before. */
   onLoads(loads: readonly RankLoad[]): void;
   send(host: string, message: FleetMessage): void;
-  /** Asks for a call of `tick` before the next regular one. */
-  wake(): void;
+  /** Requests a call of `tick` before the next regular one. */
+  requestTick(): void;
   now(): number;
   /** Uniform in [0, 1). */
   random(): number;
@@ -55,80 +55,81 @@
 
 export interface EntryFleet {
   receive(from: InstanceName, message: FleetMessage): void;
-  /** Sends what is due. Returns the milliseconds until it is to be called again. */
+  /** Sends due messages. Returns the milliseconds until the next regular call. */
   tick(): number;
-  /** Sends digests at once when others rely on this entry: it has news. */
-  onNews(): void;
-  /** Whether delegates relay knowledge, as in a large fleet. */
+  /** Sends digests ahead of schedule after a change, if this entry is a delegate. */
+  expediteDigests(): void;
+  /** Whether the fleet is large enough for delegates to relay messages. */
   isDelegating(): boolean;
-  /** Whether this entry is a delegate; all are in a small fleet. */
+  /** Whether this entry is a delegate; in a small fleet every entry is. */
   isDelegate(): boolean;
-  /** This entry's part in following the store. */
+  /** How this entry keeps its copies of the store's tables up to date. */
   readingRole(): ReadingRole;
-  /** Instance ids of all known entries, this one included; a new list whenever it changes. */
+  /** Instance ids of all known entries and this one; the same array until the list changes. */
   entryIds(): readonly string[];
-  /** Hosts of entries that were seen lately. */
-  livingHosts(): readonly string[];
+  /** Hosts of entries with recent evidence of life. */
+  liveHosts(): readonly string[];
 }
 
-/** Between two ticks of an entry that others rely on. */
-const TICK_MILLISECONDS = 100;
-/** Between two digests of a zone's primary, and of any other entry. */
-const PRIMARY_DIGEST_MILLISECONDS = 250;
-const DIGEST_MILLISECONDS = 500;
-const DIGEST_MILLISECONDS_PER_RANK = 3;
-/** Bursts of news are told together. */
-const SHORTEST_DIGEST_MILLISECONDS = 30;
-const ANNOUNCEMENT_MILLISECONDS = 1000;
-const SUMMARY_MILLISECONDS = 300;
-/** Between two tries to reach suspected entries, and one more entry that may know others. */
-const PROBE_MILLISECONDS = 1000;
-/** The same just after the start, when names are found fastest by asking the seeds again. */
-const START_PROBE_MILLISECONDS = 150;
-const START_MILLISECONDS = 1500;
-/** A sidecar whose zone's delegates have not found it for this long is answered by any entry. */
+/** Tick interval of a delegate. */
+const TICK_INTERVAL_MILLISECONDS = 100;
+/** Digest intervals of a zone's primary, and of any other entry. */
+const PRIMARY_DIGEST_INTERVAL_MILLISECONDS = 250;
+const DIGEST_INTERVAL_MILLISECONDS = 500;
+const DIGEST_INTERVAL_MILLISECONDS_PER_RANK = 3;
+/** Changes in quick succession share one digest. */
+const MINIMUM_DIGEST_INTERVAL_MILLISECONDS = 30;
+const ANNOUNCEMENT_INTERVAL_MILLISECONDS = 1000;
+const SUMMARY_INTERVAL_MILLISECONDS = 300;
+/** Interval at which suspected entries, and one entry that may know others, are contacted. */
+const PROBE_INTERVAL_MILLISECONDS = 1000;
+/** The same during startup, when repeated requests to the seeds find entries fastest. */
+const STARTUP_PROBE_INTERVAL_MILLISECONDS = 150;
+const STARTUP_MILLISECONDS = 1500;
+/** Any entry answers a sidecar that its zone's delegates have not contacted for this long. */
 const ADOPT_AFTER_MILLISECONDS = 1200;
 /**
- * After this an entry that still finds itself a delegate announces itself: before, every entry of
- * a fleet that starts at once knows too few others, and sidecars would report to all of them.
+ * An entry announces itself as a delegate only this long after its start. When a whole fleet starts
+ * at once, entries know few others at first, too many consider themselves delegates, and sidecars
+ * would report to all of them.
  */
 const ANNOUNCE_AFTER_MILLISECONDS = 500;
-/** Between two requests for the roster of the same entry. */
-const ROSTER_REQUEST_MILLISECONDS = 200;
-/** Entries that asked for digests within this time get them. */
-const CORRESPONDENT_MILLISECONDS = 2000;
+/** Minimum time between two requests for the same entry's roster. */
+const ROSTER_REQUEST_INTERVAL_MILLISECONDS = 200;
+/** An entry that expected an answer within this time is sent digests. */
+const DEPENDENT_LIFETIME_MILLISECONDS = 2000;
 
 export function createEntryFleet(options: EntryFleetOptions): EntryFleet {
   const { self, logger, now, send } = options;
   const members = createMemberList(self.instanceId, now);
-  const rosters = createHeardRosters(members);
-  const authored = createAuthoredRosters(self, members);
-  const board = createLoadBoard(now);
-  const growth = createGrowthSum(options.random);
+  const receivedRosters = createReceivedRosters(members);
+  const published = createPublishedRosters(self, members);
+  const loadTable = createLoadTable(now);
+  const growthSum = createGrowthSum(options.random);
   const leaders = createLeaderList();
   const digestSentAt = new Map<string, number>();
-  /** When entries that rely on this one were heard. */
-  const reliedOnAt = new Map<string, number>();
-  const rosterAskedAt = new Map<string, number>();
+  /** When each entry that expects digests from this one was last heard. */
+  const dependentHeardAt = new Map<string, number>();
+  const rosterRequestedAt = new Map<string, number>();
   const summarySentAt = new Map<string, number>();
   const startedAt = now();
   let announcedAt = -Infinity;
   let probedAt = -Infinity;
-  /** When something happened that others must hear at once. */
-  let newsAt = -Infinity;
+  /** When digests were last requested ahead of schedule. */
+  let expeditedAt = -Infinity;
   let wasPrimary = false;
-  let ids: readonly string[] = [self.instanceId];
-  let idsOf: readonly InstanceName[] | undefined;
-  /** Planned at each tick: planning ranks every known entry. */
+  let cachedEntryIds: readonly string[] = [self.instanceId];
+  let cachedMembers: readonly InstanceName[] | undefined;
+  /** Computed once per tick, since planning ranks every known entry. */
   let planned: Duties | undefined;
 
   function entryIds(): readonly string[] {
     const known = members.known();
-    if (known !== idsOf) {
-      idsOf = known;
-      ids = [self.instanceId, ...known.map(({ instanceId }) => instanceId)];
+    if (known !== cachedMembers) {
+      cachedMembers = known;
+      cachedEntryIds = [self.instanceId, ...known.map(({ instanceId }) => instanceId)];
     }
-    return ids;
+    return cachedEntryIds;
   }
 
   function planNow(): Duties {
@@ -146,28 +147,29 @@
   }
 
   function rosterFor(scope: RosterScope): Roster {
-    if (scope === RosterScope.Zone) return authored.ofZone();
-    return duties().isDelegate ? authored.ofFleet() : authored.secondHand();
+    if (scope === RosterScope.Zone) return published.zoneRoster();
+    return duties().isDelegate ? published.fleetRoster() : published.unconfirmedRoster();
   }
 
   function sendRoster(host: string, scope: RosterScope): void {
     send(host, { kind: MessageKind.Roster, ...rosterFor(scope) });
   }
 
-  /** Loads for another entry: a primary tells its zone everything, and other zones its own ranks. */
+  /** Loads for another entry. A primary sends all to its own zone, its zone's to other zones. */
   function loadsFor(to: InstanceName): RankLoad[] {
     const { isDelegating, isPrimary } = duties();
     if (!isDelegating) return [];
     const isOwnZone = to.availabilityZone === self.availabilityZone;
-    if (isPrimary) return isOwnZone ? board.all() : board.local();
-    // Sidecars that found no delegate in their own zone report here.
-    return board.direct((sidecar) => sidecar.availabilityZone !== self.availabilityZone);
+    if (isPrimary) return isOwnZone ? loadTable.all() : loadTable.local();
+    // Sidecars of other zones report here only if their zone has no delegate.
+    return loadTable.direct((sidecar) => sidecar.availabilityZone !== self.availabilityZone);
   }
 
   function sendDigest(to: InstanceName, expectsAnswer: boolean): void {
     const { isDelegating, isDelegate } = duties();
     const isOwnZone = to.availabilityZone === self.availabilityZone;
-    const { scope, hash } = isOwnZone || !isDelegating ? authored.ofFleet() : authored.ofZone();
+    const { scope, hash } =
+      isOwnZone || !isDelegating ? published.fleetRoster() : published.zoneRoster();
     digestSentAt.set(to.instanceId, now());
     send(to.host, {
       kind: MessageKind.Digest,
@@ -180,54 +182,58 @@
     });
   }
 
-  /** Entries whose digests this one relies on, and which therefore must answer. */
-  function plannedContacts(): Set<string> {
+  /** Ids of the entries whose digests this one needs, and which therefore must answer. */
+  function requiredPeers(): Set<string> {
     const { isDelegating, isDelegate, delegates } = duties();
-    const contacts = new Set<string>();
+    const peers = new Set<string>();
     for (const [zone, instanceIds] of delegates) {
       const isOwnZone = zone === self.availabilityZone;
       if (!isOwnZone && isDelegating && !isDelegate) continue;
-      for (const instanceId of instanceIds) contacts.add(instanceId);
+      for (const instanceId of instanceIds) peers.add(instanceId);
     }
-    contacts.delete(self.instanceId);
-    return contacts;
+    peers.delete(self.instanceId);
+    return peers;
   }
 
-  function correspondents(): string[] {
-    const from = now() - CORRESPONDENT_MILLISECONDS;
+  function activeDependents(): string[] {
+    const from = now() - DEPENDENT_LIFETIME_MILLISECONDS;
     const recent: string[] = [];
-    for (const [instanceId, at] of reliedOnAt) if (at >= from) recent.push(instanceId);
+    for (const [instanceId, at] of dependentHeardAt) if (at >= from) recent.push(instanceId);
     return recent;
   }
 
-  /** Digests to the own zone tell all loads: with more of them, they are further apart. */
-  function digestPause(to: InstanceName): number {
+  /** Digests to the own zone contain all loads, so the interval grows with their number. */
+  function digestIntervalMilliseconds(to: InstanceName): number {
     const { isDelegating, isPrimary } = duties();
-    if (!isPrimary || !isDelegating) return DIGEST_MILLISECONDS;
-    if (to.availabilityZone !== self.availabilityZone) return PRIMARY_DIGEST_MILLISECONDS;
-    const pause = board.size() * DIGEST_MILLISECONDS_PER_RANK;
-    return Math.max(PRIMARY_DIGEST_MILLISECONDS, Math.min(DIGEST_MILLISECONDS, pause));
+    if (!isPrimary || !isDelegating) return DIGEST_INTERVAL_MILLISECONDS;
+    if (to.availabilityZone !== self.availabilityZone) return PRIMARY_DIGEST_INTERVAL_MILLISECONDS;
+    const intervalMilliseconds = loadTable.size() * DIGEST_INTERVAL_MILLISECONDS_PER_RANK;
+    return Math.max(
+      PRIMARY_DIGEST_INTERVAL_MILLISECONDS,
+      Math.min(DIGEST_INTERVAL_MILLISECONDS, intervalMilliseconds),
+    );
   }
 
   function isDigestDue(to: InstanceName): boolean {
     const sentAt = digestSentAt.get(to.instanceId) ?? -Infinity;
-    const since = now() - sentAt;
-    if (newsAt >= sentAt && since >= SHORTEST_DIGEST_MILLISECONDS) return true;
-    const pause = digestPause(to);
-    // Timers fire late, never early: without slack each pause would grow by a tick.
-    return since >= pause - TICK_MILLISECONDS / 2;
+    const elapsedMilliseconds = now() - sentAt;
+    if (expeditedAt >= sentAt && elapsedMilliseconds >= MINIMUM_DIGEST_INTERVAL_MILLISECONDS)
+      return true;
+    const intervalMilliseconds = digestIntervalMilliseconds(to);
+    // Timers fire late, never early; without slack each interval would grow by a tick.
+    return elapsedMilliseconds >= intervalMilliseconds - TICK_INTERVAL_MILLISECONDS / 2;
   }
 
   function sendDigests(): void {
-    const contacts = plannedContacts();
-    for (const instanceId of new Set([...contacts, ...correspondents()])) {
+    const peers = requiredPeers();
+    for (const instanceId of new Set([...peers, ...activeDependents()])) {
       const name = members.find(instanceId);
       if (name === undefined || !isDigestDue(name)) continue;
-      const isContact = contacts.has(instanceId);
-      if (isContact) members.onContacted(instanceId);
-      sendDigest(name, isContact);
-      // An entry that relies on one that is no delegate lacks the names of those that are.
-      if (!isContact && !duties().isDelegate) sendRoster(name.host, RosterScope.Fleet);
+      const isRequiredPeer = peers.has(instanceId);
+      if (isRequiredPeer) members.onContacted(instanceId);
+      sendDigest(name, isRequiredPeer);
+      // An entry that expects digests from a non-delegate does not know the delegates.
+      if (!isRequiredPeer && !duties().isDelegate) sendRoster(name.host, RosterScope.Fleet);
     }
   }
 
@@ -253,35 +259,41 @@
     }
   }
 
-  /** An entry to ask for names that this one lacks: a seed at first, later any. */
-  function pickInformant(): string | undefined {
-    const isStarting = now() - startedAt < START_MILLISECONDS;
+  /** Picks a host to ask for unknown entries: a seed during startup, later any known entry. */
+  function pickDiscoveryHost(): string | undefined {
+    const isStarting = now() - startedAt < STARTUP_MILLISECONDS;
     const hosts = isStarting || members.known().length === 0 ? [...options.seedHosts()] : [];
     if (hosts.length === 0) for (const { host } of members.known()) hosts.push(host);
     return hosts[Math.floor(options.random() * hosts.length)];
   }
 
   /**
-   * Looks for entries that fell silent and may be back, and, while others rely on this entry, for
-   * those that it does not know: parts of a zone that started apart would stay apart.
+   * Contacts suspected entries, which may have recovered, and removes expired ones. A delegate also
+   * asks for entries that it does not know; otherwise parts of a zone that started separately would
+   * never find each other.
    */
   function probe(): void {
     probedAt = now();
-    const { scope, hash } = authored.secondHand();
-    const informant = duties().isDelegate ? pickInformant() : undefined;
-    if (informant !== undefined && informant !== self.host) {
-      send(informant, { kind: MessageKind.Hello, scope, knownHash: hash, waitedMilliseconds: 0 });
+    const { scope, hash } = published.unconfirmedRoster();
+    const discoveryHost = duties().isDelegate ? pickDiscoveryHost() : undefined;
+    if (discoveryHost !== undefined && discoveryHost !== self.host) {
+      send(discoveryHost, {
+        kind: MessageKind.Hello,
+        scope,
+        knownHash: hash,
+        waitedMilliseconds: 0,
+      });
     }
     for (const { instanceId, host } of members.known()) {
       if (!members.isSuspected(instanceId)) continue;
       send(host, { kind: MessageKind.Hello, scope, knownHash: undefined, waitedMilliseconds: 0 });
     }
-    board.forgetOld();
-    for (const { instanceId } of members.forgetSilent()) {
-      rosters.forget(instanceId);
+    loadTable.removeExpired();
+    for (const { instanceId } of members.removeSilent()) {
+      receivedRosters.remove(instanceId);
       digestSentAt.delete(instanceId);
-      reliedOnAt.delete(instanceId);
-      rosterAskedAt.delete(instanceId);
+      dependentHeardAt.delete(instanceId);
+      rosterRequestedAt.delete(instanceId);
       logger.info('entry forgotten', { entry: instanceId });
     }
   }
@@ -289,53 +301,53 @@
   function summarize(): void {
     if (!duties().isPrimary) return;
     for (const { group, host } of leaders.all()) {
-      const since = now() - (summarySentAt.get(group) ?? -Infinity);
-      if (since < SUMMARY_MILLISECONDS - TICK_MILLISECONDS / 2) continue;
-      const ranks = board.ranksOf(group);
+      const elapsedMilliseconds = now() - (summarySentAt.get(group) ?? -Infinity);
+      if (elapsedMilliseconds < SUMMARY_INTERVAL_MILLISECONDS - TICK_INTERVAL_MILLISECONDS / 2)
+        continue;
+      const ranks = loadTable.ranksOf(group);
       if (ranks.length === 0) continue;
       summarySentAt.set(group, now());
-      const grown = growth.take(group);
-      send(host, { kind: MessageKind.ZoneSummary, group, ranks, growth: grown });
+      const growth = growthSum.take(group);
+      send(host, { kind: MessageKind.ZoneSummary, group, ranks, growth });
     }
   }
 
-  /** Sends digests at once where others rely on this entry. */
-  function tellNews(): void {
+  function expediteDigests(): void {
     if (!duties().isDelegate) return;
-    newsAt = now();
-    options.wake();
+    expeditedAt = now();
+    options.requestTick();
   }
 
-  function takeLeader(group: string, host: string, fence: number): void {
+  function handleLeader(group: string, host: string, fence: number): void {
     if (!leaders.onLeader({ group, host, fence })) return;
-    // A new leader can do nothing until it knows where the ranks are.
+    // A new leader cannot act until it knows the addresses of the ranks.
     summarySentAt.delete(group);
-    tellNews();
+    expediteDigests();
   }
 
-  function takeReport(
+  function handleReport(
     from: InstanceName,
-    { state, fence, growth: grown }: Extract<FleetMessage, { kind: MessageKind.RankState }>,
+    { state, fence, growth }: Extract<FleetMessage, { kind: MessageKind.RankState }>,
   ): void {
-    const hasTurned = board.onReport(from, state);
-    if (fence !== undefined) takeLeader(state.group, from.host, fence);
-    if (grown !== undefined && state.isOpen) growth.add(state.group, grown);
+    const isGroupStateChanged = loadTable.onReport(from, state);
+    if (fence !== undefined) handleLeader(state.group, from.host, fence);
+    if (growth !== undefined && state.isOpen) growthSum.add(state.group, growth);
     const { group, rank, epoch, isOpen, running, waiting } = state;
     options.onLoads([{ group, rank, epoch, isOpen, running, waiting, ageMilliseconds: 0 }]);
-    // In a small fleet every entry hears the sidecars itself.
-    if (hasTurned && duties().isDelegating) tellNews();
+    // In a small fleet every entry receives the sidecars' reports directly.
+    if (isGroupStateChanged && duties().isDelegating) expediteDigests();
   }
 
-  function takeDigest(
+  function handleDigest(
     from: InstanceName,
     digest: Extract<FleetMessage, { kind: MessageKind.Digest }>,
   ): void {
-    if (digest.expectsAnswer) reliedOnAt.set(from.instanceId, now());
+    if (digest.expectsAnswer) dependentHeardAt.set(from.instanceId, now());
     const { roster } = digest;
-    if (roster !== undefined && !rosters.onHash(from, roster.scope, roster.hash)) {
-      const askedAt = rosterAskedAt.get(from.instanceId) ?? -Infinity;
-      if (now() - askedAt >= ROSTER_REQUEST_MILLISECONDS) {
-        rosterAskedAt.set(from.instanceId, now());
+    if (roster !== undefined && !receivedRosters.onHash(from, roster.scope, roster.hash)) {
+      const requestedAt = rosterRequestedAt.get(from.instanceId) ?? -Infinity;
+      if (now() - requestedAt >= ROSTER_REQUEST_INTERVAL_MILLISECONDS) {
+        rosterRequestedAt.set(from.instanceId, now());
         send(from.host, {
           kind: MessageKind.Hello,
           scope: roster.scope,
@@ -344,25 +356,28 @@
         });
       }
     }
-    // An entry that is no delegate tells only of sidecars that found none in their own zone.
+    // A non-delegate relays only loads of sidecars that found no delegate in their own zone.
     const isAdopted = roster === undefined && from.availabilityZone === self.availabilityZone;
-    const { newer, hasTurned } = board.onRelayed(unpackLoads(digest.loads), isAdopted);
+    const { newer, isGroupStateChanged } = loadTable.onRelayed(
+      unpackLoads(digest.loads),
+      isAdopted,
+    );
     if (newer.length > 0) options.onLoads(newer);
-    if (hasTurned) tellNews();
-    for (const { group, host, fence } of digest.leaders) takeLeader(group, host, fence);
+    if (isGroupStateChanged) expediteDigests();
+    for (const { group, host, fence } of digest.leaders) handleLeader(group, host, fence);
     options.onFreshness(from, digest.freshness);
     options.onRateLimits(digest.rateLimits);
   }
 
-  function takeHello(
+  function handleHello(
     from: InstanceName,
     { scope, knownHash, waitedMilliseconds }: Extract<FleetMessage, { kind: MessageKind.Hello }>,
   ): void {
     if (from.role === InstanceRole.Sidecar) {
-      const isLeftToDelegates =
+      const isServedByDelegates =
         duties().isDelegating && waitedMilliseconds < ADOPT_AFTER_MILLISECONDS;
-      if (!isLeftToDelegates) announceTo(from);
-    } else if (knownHash !== authored.secondHand().hash) {
+      if (!isServedByDelegates) announceTo(from);
+    } else if (knownHash !== published.unconfirmedRoster().hash) {
       sendRoster(from.host, scope);
     }
   }
@@ -377,16 +392,16 @@
       }
       switch (message.kind) {
         case MessageKind.Hello:
-          takeHello(from, message);
+          handleHello(from, message);
           return;
         case MessageKind.Roster:
-          rosters.onRoster(from, message);
+          receivedRosters.onRoster(from, message);
           return;
         case MessageKind.Digest:
-          takeDigest(from, message);
+          handleDigest(from, message);
           return;
         case MessageKind.RankState:
-          takeReport(from, message);
+          handleReport(from, message);
           return;
         case MessageKind.Announcement:
         case MessageKind.ZoneSummary:
@@ -394,7 +409,7 @@
         case MessageKind.Growth:
         case MessageKind.ReportQuestion:
         case MessageKind.ReportAnswer:
-          // For sidecars; an address that changed hands may still get some.
+          // Meant for sidecars; may still arrive at an address that a sidecar used before.
           return;
         default: {
           const unreachable: never = message;
@@ -406,22 +421,25 @@
       planned = planNow();
       const { isPrimary, isDelegate } = planned;
       sendDigests();
-      const age = now() - startedAt;
-      const probePause = age < START_MILLISECONDS ? START_PROBE_MILLISECONDS : PROBE_MILLISECONDS;
-      if (now() - probedAt >= probePause) probe();
-      if (!planned.isDelegating || age >= ANNOUNCE_AFTER_MILLISECONDS) {
-        const isDue = now() - announcedAt >= ANNOUNCEMENT_MILLISECONDS;
+      const uptimeMilliseconds = now() - startedAt;
+      const probeIntervalMilliseconds =
+        uptimeMilliseconds < STARTUP_MILLISECONDS
+          ? STARTUP_PROBE_INTERVAL_MILLISECONDS
+          : PROBE_INTERVAL_MILLISECONDS;
+      if (now() - probedAt >= probeIntervalMilliseconds) probe();
+      if (!planned.isDelegating || uptimeMilliseconds >= ANNOUNCE_AFTER_MILLISECONDS) {
+        const isDue = now() - announcedAt >= ANNOUNCEMENT_INTERVAL_MILLISECONDS;
         if (isDue || (isPrimary && !wasPrimary)) announce();
         wasPrimary = isPrimary;
       }
       summarize();
-      return isDelegate ? TICK_MILLISECONDS : DIGEST_MILLISECONDS;
+      return isDelegate ? TICK_INTERVAL_MILLISECONDS : DIGEST_INTERVAL_MILLISECONDS;
     },
-    onNews: tellNews,
+    expediteDigests,
     isDelegating: () => duties().isDelegating,
     isDelegate: () => duties().isDelegate,
     readingRole: () => duties().readingRole,
     entryIds,
-    livingHosts: () => members.seenWithin(VOUCH_MILLISECONDS).map(({ host }) => host),
+    liveHosts: () => members.seenWithin(EVIDENCE_LIFETIME_MILLISECONDS).map(({ host }) => host),
   };
 }
--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -1,6 +1,7 @@
 /**
- * What instances tell each other: who lives, how loaded the ranks are, how fresh a copy of the
- * store's tables is. Delegates of each availability zone relay it.
+ * Gossip between instances over UDP: which entries are alive, the load of every rank, and how fresh
+ * each entry's copies of the store's tables are. In a large fleet, delegates of each availability
+ * zone relay it.
  */
 export { createDatagramLink } from './datagram-link.js';
 export type { DatagramLink, DatagramLinkOptions, SentCount } from './datagram-link.js';
@@ -16,7 +17,7 @@
 } from './message.js';
 export { ReadingRole } from './plan-delegates.js';
 export type { RankLoad } from './pack-loads.js';
-export { playFleet } from './played-fleet.js';
-export type { PlayedEntry, PlayedFleet, PlayedFleetOptions } from './played-fleet.js';
+export { simulateFleet } from './simulated-fleet.js';
+export type { SimulatedEntry, SimulatedFleet, SimulatedFleetOptions } from './simulated-fleet.js';
 export { createSidecarFleet } from './sidecar-fleet.js';
 export type { SidecarFleet, SidecarFleetOptions } from './sidecar-fleet.js';
--- a/packages/group-sidecar/src/rank-member.ts
+++ b/packages/group-sidecar/src/rank-member.ts
@@ -101,7 +101,7 @@
       return observer.report();
     },
     send(asked, question) {
-      fleet.ask(asked, question);
+      fleet.requestReport(asked, question);
       return true;
     },
   });
@@ -179,7 +179,7 @@
    */
   function onCountDelta(delta: CountDelta): void {
     if (leadership.fencingNumber() === undefined)
-      fleet.tellGrowth(quantizeCountDelta(delta, random));
+      fleet.sendGrowth(quantizeCountDelta(delta, random));
     else if (observer.report()?.isOpen === true) addCountDelta(delta);
   }
 
@@ -188,7 +188,7 @@
     try {
       await observer.refresh();
       const report = observer.report();
-      if (report !== undefined) fleet.answer(to, question, report);
+      if (report !== undefined) fleet.answerReportRequest(to, question, report);
     } catch (thrown) {
       // Without an answer the leader asks by HTTP next, and learns there that the rank does not
       // answer.
--- a/packages/group-sidecar/src/simulated-group.ts
+++ b/packages/group-sidecar/src/simulated-group.ts
@@ -260,7 +260,7 @@
       onRateLimits: () => undefined,
       onLoads: () => undefined,
       send: (host, message) => send(self, host, message),
-      wake: () => void setTimeout(() => fleet.tick(), 1),
+      requestTick: () => void setTimeout(() => fleet.tick(), 1),
       now,
       random,
     });
